--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -165,9 +165,9 @@
         self._note(one, detail="gave up")
 
     def _on_end(
-        self, one: _Try, end: client_connection.Response | client_connection.Broken
+        self, one: _Try, end: client_connection.Response | client_connection.ConnectionFailure
     ) -> None:
-        if isinstance(end, client_connection.Broken):
+        if isinstance(end, client_connection.ConnectionFailure):
             self._note(one, detail=end.detail)
             return
         if one.connection is not None and not one.connection.is_closed:
--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -13,7 +13,7 @@
 
 from lineworks.decisions import evacuations, positions, routes, target_view
 from lineworks.forwarding import hall_peers, target_documents
-from lineworks.kernel import bounded_log, task
+from lineworks.kernel import rate_limited_log, task
 from lineworks.platform import configuration, store, store_items, target_entries
 from lineworks.platform import evacuations as evacuation_keys
 from lineworks.wire import node_frames
@@ -119,7 +119,9 @@
         self._pulled_at = float("-inf")
         self._spread = rng.random() * FALLBACK_SPREAD
         self._task = task.Task("directory", self._run)
-        self._refused_log = bounded_log.BoundedLog(reactor, "directory", REFUSED_PER_SECOND)
+        self._refused_log = rate_limited_log.RateLimitedLog(
+            reactor, "directory", REFUSED_PER_SECOND
+        )
         self.refused_entries = 0
         """Entries read that name no target to use."""
         self.on_table: Callable[[routes.RouteTable], None] = lambda table: None
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -317,7 +317,7 @@
                 self._shared, route, service, call, care, request.arrived, on_end
             )
         lag = answer_time.answer_lag(self._shared.lags)
-        due = answer_time.answer_due(request.arrived, route.aim, request.caller_way, lag)
+        due = answer_time.answer_due(request.arrived, route.aim, request.network_delay, lag)
         return search.Search(self._shared, route, call, care, due, request.arrived, on_end)
 
     def _start(self, work: _Work) -> None:
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -15,7 +15,7 @@
 
 from lineworks.decisions import fair_shares, mechanisms, parts, verdict
 from lineworks.forwarding import answers, target_calls, waiting_line
-from lineworks.kernel import bounded_log
+from lineworks.kernel import rate_limited_log
 from lineworks.platform import headers
 from lineworks.wire import node_frames
 
@@ -104,7 +104,7 @@
         self._calls = calls
         self._jobs: dict[tuple[str, int], _Job] = {}
         self._line = waiting_line.WaitingLine(reactor, ROOM_PAUSE)
-        self._log = bounded_log.BoundedLog(reactor, "gatherer", FAILURES_PER_SECOND)
+        self._log = rate_limited_log.RateLimitedLog(reactor, "gatherer", FAILURES_PER_SECOND)
 
     @property
     def is_idle(self) -> bool:
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -46,7 +46,7 @@
     workspace_view,
 )
 from lineworks.http1 import server_connection
-from lineworks.kernel import bounded_log, listening, loop_delay, registry
+from lineworks.kernel import listening, loop_delay, rate_limited_log, registry
 from lineworks.models import node_settings
 from lineworks.platform import headers, store, store_items
 from lineworks.services import peer_links
@@ -55,7 +55,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from lineworks.kernel import early_callers
+    from lineworks.kernel import early_acceptor
 
 HEARTBEAT_SECONDS = 2.0
 """Seconds between heartbeats on a link: a silent link counts as lost after twice that."""
@@ -77,7 +77,7 @@
         self,
         reactor: Any,
         settings: node_settings.NodeSettings,
-        callers_port: early_callers.EarlyCallers | None = None,
+        callers_port: early_acceptor.EarlyAcceptor | None = None,
         rng: random.Random | None = None,
     ) -> None:
         """Make the process's services.
@@ -181,7 +181,7 @@
             self._quotas,
             tools.HedgeTimes(),
             self._counters,
-            bounded_log.BoundedLog(reactor, "hedges", tools.HEDGE_LINES_PER_SECOND),
+            rate_limited_log.RateLimitedLog(reactor, "hedges", tools.HEDGE_LINES_PER_SECOND),
             waiting_line.WaitingLine(reactor, search.ROOM_PAUSE, self._rng.random),
             without,
         )
@@ -462,7 +462,7 @@
             "lineworks_suspects": self._suspects.gauges,
             "lineworks_event_loop_delay_seconds": {
                 "last": self._loop_delay.last,
-                "greatest": self._loop_delay.greatest,
+                "greatest": self._loop_delay.peak,
             },
             "lineworks_log_lines": {
                 "left_out": float(
--- a/src/lineworks/forwarding/planned_stop.py
+++ b/src/lineworks/forwarding/planned_stop.py
@@ -134,7 +134,7 @@
         the process is gone, while targets turned slow (count of tries without an answer).
         """
         for connection in list(self._callers.connections):
-            connection.end()
+            connection.shut_down()
         count = self._requests.end_all() + self._queries.end_all()
         self._answered = count + (self._answered or 0)
 
--- a/src/lineworks/forwarding/quota_keeper.py
+++ b/src/lineworks/forwarding/quota_keeper.py
@@ -15,7 +15,7 @@
 
 from lineworks.decisions import quota, verdict
 from lineworks.forwarding import quota_holder
-from lineworks.kernel import bounded_log
+from lineworks.kernel import rate_limited_log
 from lineworks.wire import node_frames
 
 if TYPE_CHECKING:
@@ -128,7 +128,7 @@
         self._peers = peers
         self._ranks = ranks
         self._holder = holder
-        self._log = bounded_log.BoundedLog(reactor, "quotas", LINES_PER_SECOND)
+        self._log = rate_limited_log.RateLimitedLog(reactor, "quotas", LINES_PER_SECOND)
         self._numbers = itertools.count(1)
         self._version = 0
         self._questions: dict[int, _Question] = {}
@@ -158,7 +158,7 @@
     @property
     def lines_left_out(self) -> int:
         """Log lines that were left out."""
-        return self._log.left_out_in_all
+        return self._log.suppressed_total
 
     def set_workspaces(self, listed: Iterable[workspaces.Workspace], version: int = 0) -> None:
         """Put the limits of a configuration in force.
--- a/src/lineworks/forwarding/request_log.py
+++ b/src/lineworks/forwarding/request_log.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from lineworks.kernel import bounded_log
+from lineworks.kernel import rate_limited_log
 from lineworks.platform import headers
 
 if TYPE_CHECKING:
@@ -49,17 +49,17 @@
         """
         self._reactor = reactor
         self._counts = counts
-        self._bad = bounded_log.BoundedLog(reactor, "front", BAD_PER_SECOND)
-        self._good = bounded_log.BoundedLog(reactor, "front", GOOD_PER_SECOND)
-        self._over_limit = bounded_log.BoundedLog(reactor, "front", OVER_LIMIT_PER_SECOND)
-        self._broke_off = bounded_log.BoundedLog(reactor, "front", BROKE_OFF_PER_SECOND)
-        self._cut = bounded_log.BoundedLog(reactor, "front", CUT_PER_SECOND)
+        self._bad = rate_limited_log.RateLimitedLog(reactor, "front", BAD_PER_SECOND)
+        self._good = rate_limited_log.RateLimitedLog(reactor, "front", GOOD_PER_SECOND)
+        self._over_limit = rate_limited_log.RateLimitedLog(reactor, "front", OVER_LIMIT_PER_SECOND)
+        self._broke_off = rate_limited_log.RateLimitedLog(reactor, "front", BROKE_OFF_PER_SECOND)
+        self._cut = rate_limited_log.RateLimitedLog(reactor, "front", CUT_PER_SECOND)
 
     @property
     def left_out(self) -> int:
         """Lines left out since the start."""
         logs = (self._bad, self._good, self._over_limit, self._broke_off, self._cut)
-        return sum(log.left_out_in_all for log in logs)
+        return sum(log.suppressed_total for log in logs)
 
     def on_end(
         self,
--- a/src/lineworks/forwarding/suspect_exchange.py
+++ b/src/lineworks/forwarding/suspect_exchange.py
@@ -15,7 +15,7 @@
 
 from lineworks.decisions import suspects
 from lineworks.forwarding import hall_peers, suspect_documents, target_probe
-from lineworks.kernel import bounded_log, task
+from lineworks.kernel import rate_limited_log, task
 from lineworks.platform import store, store_items
 from lineworks.wire import node_frames
 
@@ -104,8 +104,8 @@
         self._writer = task.Task("suspects", self._write)
         self._look: Any = None
         self._is_stopped = False
-        self._log = bounded_log.BoundedLog(reactor, "suspects", LINES_PER_SECOND)
-        self._refused_log = bounded_log.BoundedLog(reactor, "suspects", LINES_PER_SECOND)
+        self._log = rate_limited_log.RateLimitedLog(reactor, "suspects", LINES_PER_SECOND)
+        self._refused_log = rate_limited_log.RateLimitedLog(reactor, "suspects", LINES_PER_SECOND)
         self.counts: collections.Counter[str] = collections.Counter()
         """Requests refused and tried on one target, reports told and taken in, suspects cleared."""
         links.handle(node_frames.SuspectReports, self._on_reports)
--- a/src/lineworks/forwarding/target_calls.py
+++ b/src/lineworks/forwarding/target_calls.py
@@ -306,14 +306,14 @@
     def _on_end(
         self,
         exchange: _Exchange,
-        end: client_connection.Response | client_connection.Broken,
+        end: client_connection.Response | client_connection.ConnectionFailure,
     ) -> None:
         connection = exchange.connection
         exchange.connection = None
         if exchange in self._kept:
             del self._kept[exchange]
             self._heard_from = max(self._heard_from, exchange.started)
-        if isinstance(end, client_connection.Broken):
+        if isinstance(end, client_connection.ConnectionFailure):
             found = verdict.may_have_run(verdict.Reason.LINK_LOST, end.detail)
             self._end(exchange, CallEnd(found, broke_off=end.is_unanswered), is_progress=False)
             return
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from lineworks.decisions import hall_ways, verdict
-from lineworks.kernel import bounded_log
+from lineworks.kernel import rate_limited_log
 from lineworks.platform import headers
 
 if TYPE_CHECKING:
@@ -40,12 +40,12 @@
         """
         self._book = book
         self._rng = rng
-        self._log = bounded_log.BoundedLog(clock, "targets", LINES_PER_SECOND)
+        self._log = rate_limited_log.RateLimitedLog(clock, "targets", LINES_PER_SECOND)
 
     @property
     def lines_left_out(self) -> int:
         """Log lines left out since the start."""
-        return self._log.left_out_in_all
+        return self._log.suppressed_total
 
     def usual(self, state: target_state.TargetState) -> float:
         """Tell how long targets of its service usually take, in seconds; 0 when unknown."""
--- a/src/lineworks/forwarding/tools.py
+++ b/src/lineworks/forwarding/tools.py
@@ -21,7 +21,7 @@
         target_state,
         waiting_line,
     )
-    from lineworks.kernel import bounded_log
+    from lineworks.kernel import rate_limited_log
 
 HEDGE_LINES_PER_SECOND = 10.0
 """Log lines a second for hedges."""
@@ -143,7 +143,7 @@
     counters: Counters
     """Counts for metrics."""
 
-    log: bounded_log.BoundedLog
+    log: rate_limited_log.RateLimitedLog
     """Takes a line for each hedge."""
 
     line: waiting_line.WaitingLine
--- a/src/lineworks/http1/client_connection.py
+++ b/src/lineworks/http1/client_connection.py
@@ -14,7 +14,7 @@
 from twisted.internet import error as net_error
 from twisted.internet import protocol
 
-from lineworks.kernel import prompt_write
+from lineworks.kernel import immediate_write
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
+class ConnectionFailure:
     """The connection ended without a whole answer."""
 
     detail: str
@@ -87,7 +87,7 @@
         """
         self._now = now
         self._on_closed = on_closed
-        self._on_end: Callable[[Response | Broken], None] | None = None
+        self._on_end: Callable[[Response | ConnectionFailure], None] | None = None
         self._expect: tuple[bytes, bytes] | None = None
         self._parser: Any = None
         self._fields: list[tuple[bytes, bytes]] = []
@@ -125,7 +125,7 @@
         self,
         data: bytes,
         has_body: bool,
-        on_end: Callable[[Response | Broken], None],
+        on_end: Callable[[Response | ConnectionFailure], None],
         expect: tuple[bytes, bytes] | None = None,
     ) -> None:
         """Send a request.
@@ -141,7 +141,7 @@
         self._expect = expect
         self._has_body = has_body
         self._begin()
-        prompt_write.write(self.transport, data)
+        immediate_write.write(self.transport, data)
 
     def abort(self) -> None:
         """Close at once and report nothing."""
@@ -168,7 +168,7 @@
         if whole is not None:
             self._deliver(whole, must_close=bool(problem))
         elif problem:
-            self._finish(Broken(problem, True))
+            self._finish(ConnectionFailure(problem, True))
             self._drop()
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
@@ -183,7 +183,9 @@
             self._finish(self._response())
         else:
             detail = "closed by the server" if is_clean else "connection lost"
-            self._finish(Broken(detail, bool(self._fields or self._body), is_closed=True))
+            self._finish(
+                ConnectionFailure(detail, bool(self._fields or self._body), is_closed=True)
+            )
         self._parser = None
         self._on_closed(self)
 
@@ -283,7 +285,7 @@
         self._finish(response)
         self.transport.abortConnection()
 
-    def _finish(self, end: Response | Broken) -> None:
+    def _finish(self, end: Response | ConnectionFailure) -> None:
         on_end = self._on_end
         self._on_end = None
         if on_end is not None:
--- a/src/lineworks/http1/server_connection.py
+++ b/src/lineworks/http1/server_connection.py
@@ -14,7 +14,7 @@
 from twisted.internet import error, protocol
 
 from lineworks.http1 import fields as http_fields
-from lineworks.kernel import prompt_write, tcp_info
+from lineworks.kernel import immediate_write, tcp_info
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -49,7 +49,7 @@
     arrived: float
     """When its first byte was read, in seconds on the steady clock."""
 
-    caller_way: float | None = None
+    network_delay: float | None = None
     """Seconds that the caller loses on the way: what it waited until the first byte was here, and
     what the answer will take. None where the system does not tell."""
 
@@ -182,7 +182,7 @@
             self._is_broken = True
             self.transport.loseConnection()
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Refuse a request that is partly read, because the process ends; close when at rest.
 
         A connection without any request stays open: its first one may be on its way.
@@ -290,7 +290,7 @@
             return
         # Requests that were sent ahead and read are answered, too, before the connection closes.
         is_last = not self._waiting and (self._must_close or self._server.is_closing())
-        prompt_write.write(self.transport, _encode(answer, is_last, request.method == b"HEAD"))
+        immediate_write.write(self.transport, _encode(answer, is_last, request.method == b"HEAD"))
         self.is_busy = False
         if is_last:
             self._is_broken = True
--- a/src/lineworks/kernel/early_callers.py
+++ b/src/lineworks/kernel/early_acceptor.py
@@ -54,7 +54,7 @@
     is_refused: bool = False
 
 
-class EarlyCallers:
+class EarlyAcceptor:
     """A listening port and who connected to it before the event loop runs."""
 
     def __init__(self, opened: socket.socket, read_budget: Callable[[bytes], float | None]) -> None:
--- a/src/lineworks/kernel/early_signals.py
+++ b/src/lineworks/kernel/early_signals.py
@@ -13,13 +13,13 @@
 _stop_asked_at: list[float] = []
 
 
-def hold() -> None:
+def install_handlers() -> None:
     """Note signals to stop, and ignore the one that settings changed: they are read later."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, _on_stop)
 
 
-def stop_asked_at() -> float | None:
+def stop_requested_at() -> float | None:
     """Tell when a signal to stop came.
 
     Returns:
--- a/src/lineworks/kernel/loop_delay.py
+++ b/src/lineworks/kernel/loop_delay.py
@@ -7,7 +7,7 @@
 PERIOD_SECONDS = 1.0
 """Seconds between looks."""
 
-LOSS = 0.9
+PEAK_DECAY = 0.9
 """Part of the greatest delay that is kept from one look to the next, so that a peak can still be
 seen when metrics are read every few seconds."""
 
@@ -33,7 +33,7 @@
         return self._last
 
     @property
-    def greatest(self) -> float:
+    def peak(self) -> float:
         """Greatest delay in seconds; it fades by a tenth each second."""
         return self._greatest
 
@@ -52,5 +52,5 @@
 
     def _look(self) -> None:
         self._last = max(0.0, self._reactor.seconds() - self._due)
-        self._greatest = max(self._last, self._greatest * LOSS)
+        self._greatest = max(self._last, self._greatest * PEAK_DECAY)
         self._schedule()
--- a/src/lineworks/kernel/bounded_log.py
+++ b/src/lineworks/kernel/rate_limited_log.py
@@ -15,7 +15,7 @@
 """Seconds between lines that tell how many were left out."""
 
 
-class BoundedLog:
+class RateLimitedLog:
     """Writes the lines of one kind, as many as its rate allows."""
 
     def __init__(self, clock: Any, component: str, rate: float) -> None:
@@ -34,7 +34,7 @@
         self._reported_at = clock.seconds()
         self.left_out = 0
         """Lines left out and not told of yet."""
-        self.left_out_in_all = 0
+        self.suppressed_total = 0
         """Lines left out since the start."""
 
     def info(self, event: str, **fields: Any) -> None:
@@ -55,4 +55,4 @@
             self._log.info(event, **fields)
         else:
             self.left_out += 1
-            self.left_out_in_all += 1
+            self.suppressed_total += 1
--- a/src/lineworks/platform/_store_connections.py
+++ b/src/lineworks/platform/_store_connections.py
@@ -53,7 +53,7 @@
 
     async def read(
         self, data: bytes, timeout: float, on_sent: Callable[[], None]
-    ) -> client_connection.Response | client_connection.Broken:
+    ) -> client_connection.Response | client_connection.ConnectionFailure:
         """Send a request that changes nothing, again and again until an answer comes.
 
         Args:
@@ -67,14 +67,14 @@
         Raises:
             ConnectError: There is no connection.
         """
-        end: client_connection.Response | client_connection.Broken = await _RepeatedRead(
+        end: client_connection.Response | client_connection.ConnectionFailure = await _RepeatedRead(
             self._reactor, functools.partial(self.exchange, data), timeout, on_sent
         ).start()
         return end
 
     async def exchange(
         self, data: bytes, timeout: float, is_new: bool = False
-    ) -> client_connection.Response | client_connection.Broken:
+    ) -> client_connection.Response | client_connection.ConnectionFailure:
         """Send a request and wait for its answer.
 
         Args:
@@ -95,7 +95,7 @@
         timer = self._reactor.callLater(timeout, _give_up, connection, ended)
         connection.send(data, False, lambda end: None if ended.called else ended.callback(end))
         try:
-            end: client_connection.Response | client_connection.Broken = await ended
+            end: client_connection.Response | client_connection.ConnectionFailure = await ended
         except defer.CancelledError:
             connection.abort()
             raise
@@ -177,7 +177,7 @@
     def _on_deadline(self) -> None:
         """End the read; a connection that is still being opened would hold it up."""
         self._stop()
-        self._ended.callback(client_connection.Broken("no answer in time", False))
+        self._ended.callback(client_connection.ConnectionFailure("no answer in time", False))
 
     def _stop(self) -> None:
         self._is_over = True
@@ -222,4 +222,4 @@
 
 def _give_up(connection: _StoreConnection, ended: defer.Deferred[Any]) -> None:
     connection.abort()
-    ended.callback(client_connection.Broken("no answer in time", False))
+    ended.callback(client_connection.ConnectionFailure("no answer in time", False))
--- a/src/lineworks/platform/store.py
+++ b/src/lineworks/platform/store.py
@@ -336,7 +336,7 @@
             end = await call
         except _store_connections.ConnectError as error:
             raise StoreError(f"{kind}: {error}") from error
-        if isinstance(end, client_connection.Broken):
+        if isinstance(end, client_connection.ConnectionFailure):
             raise StoreUnsureError(f"{kind}: {end.detail}")
         era = _era_of(end)
         self.era.learn(era)
--- a/src/lineworks/programs/node.py
+++ b/src/lineworks/programs/node.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from lineworks.decisions import mechanisms
-from lineworks.kernel import early_callers, early_signals, lean_imports, listening
+from lineworks.kernel import early_acceptor, early_signals, lean_imports, listening
 from lineworks.platform import headers
 from lineworks.platform import settings as platform_settings
 
@@ -63,10 +63,10 @@
     return dataclasses.replace(platform_settings.load(), without=without)
 
 
-def _open_callers(settings: node_settings.NodeSettings) -> early_callers.EarlyCallers:
+def _open_callers(settings: node_settings.NodeSettings) -> early_acceptor.EarlyAcceptor:
     """Let callers connect while the rest is imported."""
     opened = listening.open_port(settings.callers.host, settings.callers.port)
-    callers = early_callers.EarlyCallers(opened, headers.budget_of_head)
+    callers = early_acceptor.EarlyAcceptor(opened, headers.budget_of_head)
     callers.start()
     return callers
 
@@ -93,7 +93,7 @@
     return logs.exit_code
 
 
-def _run(settings: node_settings.NodeSettings, callers: early_callers.EarlyCallers) -> int:
+def _run(settings: node_settings.NodeSettings, callers: early_acceptor.EarlyAcceptor) -> int:
     """Start the services and run until they stop."""
     reactor = _install_reactor()
     from twisted.internet import defer
@@ -107,10 +107,10 @@
     # Before anything else, or an early signal would end the process on the spot.
     _handle_signals(reactor, process, logs)
     defer.ensureDeferred(process.start()).addErrback(_on_start_failed, reactor, logs)
-    stop_asked_at = early_signals.stop_asked_at()
-    if stop_asked_at is not None:
+    stop_requested_at = early_signals.stop_requested_at()
+    if stop_requested_at is not None:
         # The platform counts its time from the signal.
-        reactor.callWhenRunning(process.stop, stop_asked_at)
+        reactor.callWhenRunning(process.stop, stop_requested_at)
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
     gc.enable()
--- a/src/lineworks/services/peer_link.py
+++ b/src/lineworks/services/peer_link.py
@@ -11,7 +11,7 @@
 import structlog
 from twisted.protocols import basic
 
-from lineworks.kernel import prompt_write
+from lineworks.kernel import immediate_write
 from lineworks.wire import codec, deflate, frames
 
 if TYPE_CHECKING:
@@ -113,7 +113,7 @@
         """
         packed = self._deflater.deflate(data)
         # At once: what a gatherer does should not wait for the calls that follow its query.
-        prompt_write.write(self.transport, struct.pack(self.structFormat, len(packed)) + packed)
+        immediate_write.write(self.transport, struct.pack(self.structFormat, len(packed)) + packed)
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
         """Take in one frame.
--- a/src/lineworks/standins/deployment.py
+++ b/src/lineworks/standins/deployment.py
@@ -372,10 +372,12 @@
         super().connectionMade()
         self.send(self._data, False, self._on_reply)
 
-    def _on_reply(self, end: client_connection.Response | client_connection.Broken) -> None:
+    def _on_reply(
+        self, end: client_connection.Response | client_connection.ConnectionFailure
+    ) -> None:
         reply = self._reply
         reply.at = self._clock.seconds()
-        if isinstance(end, client_connection.Broken):
+        if isinstance(end, client_connection.ConnectionFailure):
             reply.broken = end.detail
             return
         reply.status = end.status
--- a/src/lineworks_node.py
+++ b/src/lineworks_node.py
@@ -9,7 +9,7 @@
 from lineworks.kernel import early_signals
 
 # Before the rest is imported, which takes some tenths of a second.
-early_signals.hold()
+early_signals.install_handlers()
 
 from lineworks.programs import node  # noqa: E402
 
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -62,19 +62,19 @@
 
 def test_an_answer_cut_short_is_none():
     caller = Caller().receive(OK + b"Content-Length: 9\r\n\r\nab").end()
-    assert isinstance(caller.ends[0], client_connection.Broken)
+    assert isinstance(caller.ends[0], client_connection.ConnectionFailure)
 
 
 def test_an_answer_without_length_is_whole_only_on_a_clean_end():
     clean = Caller().receive(OK + b"\r\nabc").end()
     assert clean.ends[0].body == b"abc"
     reset = Caller().receive(OK + b"\r\nabc").end(error.ConnectionLost)
-    assert isinstance(reset.ends[0], client_connection.Broken)
+    assert isinstance(reset.ends[0], client_connection.ConnectionFailure)
 
 
 def test_bytes_that_are_no_answer_end_the_connection():
     caller = Caller().receive(b"\x00\x01rubbish\r\n\r\n")
-    assert isinstance(caller.ends[0], client_connection.Broken)
+    assert isinstance(caller.ends[0], client_connection.ConnectionFailure)
     assert caller.transport.aborted
 
 
--- a/tests/test_early_callers.py
+++ b/tests/test_early_callers.py
@@ -8,7 +8,7 @@
 import pytest
 from twisted.internet import protocol, selectreactor
 
-from lineworks.kernel import early_callers, listening
+from lineworks.kernel import early_acceptor, listening
 from lineworks.platform import headers
 from lineworks.platform.standins import documents
 
@@ -27,7 +27,9 @@
 
 @pytest.fixture
 def early():
-    found = early_callers.EarlyCallers(listening.open_port("127.0.0.1", 0), headers.budget_of_head)
+    found = early_acceptor.EarlyAcceptor(
+        listening.open_port("127.0.0.1", 0), headers.budget_of_head
+    )
     found.address = found._opened.getsockname()
     found.start()
     return found
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -12,7 +12,7 @@
 from lineworks.decisions import verdict
 from lineworks.forwarding import metrics, outcome
 from lineworks.http1 import server_connection
-from lineworks.kernel import bounded_log
+from lineworks.kernel import rate_limited_log
 from lineworks.platform.standins import documents
 from lineworks.programs import _node_logs, _timeline, ctl
 from tests import test_forwarding
@@ -21,7 +21,7 @@
 def test_a_kind_of_line_is_bounded_and_what_is_left_out_is_told():
     clock = task.Clock()
     with capture_logs() as lines:
-        log = bounded_log.BoundedLog(clock, "x", 5.0)
+        log = rate_limited_log.RateLimitedLog(clock, "x", 5.0)
         for _ in range(100):
             log.info("e")
         clock.advance(1.0)
--- a/tests/test_loop_delay.py
+++ b/tests/test_loop_delay.py
@@ -17,7 +17,7 @@
     assert round(delay.last, 6) == 0.3
     clock.advance(loop_delay.PERIOD_SECONDS)
     assert delay.last == 0.0
-    assert round(delay.greatest, 6) == round(0.3 * loop_delay.LOSS, 6)
+    assert round(delay.peak, 6) == round(0.3 * loop_delay.PEAK_DECAY, 6)
     delay.stop()
     clock.advance(5.0)
     assert delay.last == 0.0
--- a/tests/test_prompt_write.py
+++ b/tests/test_prompt_write.py
@@ -8,7 +8,7 @@
 from twisted.internet import protocol, tcp
 
 from lineworks.http1 import client_connection, server_connection
-from lineworks.kernel import prompt_write
+from lineworks.kernel import immediate_write
 from lineworks.services import peer_link, peer_links
 from lineworks.wire import node_frames
 
@@ -80,8 +80,8 @@
 
 def test_what_the_system_takes_leaves_at_once(ends):
     found = ends()
-    prompt_write.write(found.transport, b"one")
-    prompt_write.write(found.transport, b"two")
+    immediate_write.write(found.transport, b"one")
+    immediate_write.write(found.transport, b"two")
     assert found.read() == b"onetwo"
     assert not found.reactor.writers
 
@@ -89,8 +89,8 @@
 def test_what_the_system_does_not_take_leaves_in_order_later(ends):
     found = ends()
     large = b"x" * (8 << 20)
-    prompt_write.write(found.transport, large)
-    prompt_write.write(found.transport, b"end")
+    immediate_write.write(found.transport, large)
+    immediate_write.write(found.transport, b"end")
     assert found.transport in found.reactor.writers
     read = b""
     while found.reactor.writers:
@@ -103,14 +103,14 @@
 def test_a_connection_that_its_peer_reset_is_left_to_the_reactor(ends):
     found = ends()
     found.far.close()
-    prompt_write.write(found.transport, b"late")
+    immediate_write.write(found.transport, b"late")
     assert found.transport in found.reactor.writers
 
 
 def test_a_lost_connection_takes_nothing(ends):
     found = ends()
     found.transport.connected = False
-    prompt_write.write(found.transport, b"late")
+    immediate_write.write(found.transport, b"late")
     assert found.read() == b""
 
 
--- a/tests/test_server_connection.py
+++ b/tests/test_server_connection.py
@@ -220,9 +220,9 @@
     caller.send(request)
     caller.answers[0](server_connection.Answer(200))
     caller.send(request)
-    assert [found.caller_way for found in caller.requests] == [0.012, 0.006]
+    assert [found.network_delay for found in caller.requests] == [0.012, 0.006]
 
 
 def test_the_way_of_a_caller_is_unknown_where_the_system_does_not_tell():
     caller = Caller().send(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-    assert caller.requests[0].caller_way is None
+    assert caller.requests[0].network_delay is None
