--- a/src/lineworks/http1/__init__.py
+++ b/src/lineworks/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 connections: Twisted's sockets with the parser of the library httptools."""
+"""HTTP/1.1 connections on Twisted transports, parsed by httptools."""
--- a/src/lineworks/http1/client_connection.py
+++ b/src/lineworks/http1/client_connection.py
@@ -1,8 +1,8 @@
-"""The client's end of an HTTP/1.1 connection, used for one request at a time.
+"""The client side of an HTTP/1.1 connection, without pipelining.
 
-The connection is suspicious by design, because its server may be faulty: bytes that nobody asked
-for close it, an answer to another request is dropped and ends its reuse, and an answer without a
-length is whole only when the server closes the connection in order.
+The server may be faulty, so the connection handles its data defensively: unsolicited bytes close
+the connection, a response to another request is discarded and prevents reuse, and a response
+without a length counts as complete only when the server closes the connection cleanly.
 """
 
 from __future__ import annotations
@@ -19,105 +19,105 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-MAX_BODY = 16 * 1024 * 1024
-"""Bytes of an answer's body at most; a longer one is broken off."""
+MAX_BODY_BYTES = 16 * 1024 * 1024
+"""Maximum size of a response body in bytes; a longer one aborts the connection."""
 
-DEFAULT_IDLE = 4.0
-"""Seconds that a connection is kept for reuse when its server does not say how long it waits."""
+DEFAULT_KEEP_ALIVE_SECONDS = 4.0
+"""Seconds for which an idle connection is kept when the server states no keep-alive timeout."""
 
-IDLE_MARGIN = 1.0
-"""Seconds before the server's own limit at which a connection is given up."""
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
+"""Seconds before the server's keep-alive timeout at which a connection is no longer reused."""
 
-_FRAMING = frozenset((b"content-length", b"transfer-encoding"))
+_FRAMING_FIELDS = frozenset((b"content-length", b"transfer-encoding"))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
-    """HTTP status."""
+    """HTTP status code."""
 
     fields: list[tuple[bytes, bytes]]
-    """Header fields in order, names in lower case."""
+    """Header fields in order, with names in lower case."""
 
     body: bytes
     """The body."""
 
     headers: Mapping[bytes, bytes] = dataclasses.field(init=False, repr=False, compare=False)
-    """The fields by name; of fields with the same name the last."""
+    """Header fields by name; of repeated fields, the last value."""
 
     def __post_init__(self) -> None:
-        """Sort the fields by name once: several readers look for theirs."""
+        """Index the fields by name once, since several readers look them up."""
         object.__setattr__(self, "headers", dict(self.fields))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectionFailure:
-    """The connection ended without a whole answer."""
+    """The outcome of a request that got no complete response."""
 
     detail: str
-    """What happened, for logs."""
+    """Description of the failure for the logs."""
 
-    saw_bytes: bool
-    """Whether any byte of an answer came."""
+    has_received_data: bool
+    """Whether any part of a response was received."""
 
     is_closed: bool = False
-    """Whether the connection ended; otherwise its bytes were no answer."""
+    """Whether the connection was closed; otherwise the data received was no valid response."""
 
     @property
     def is_unanswered(self) -> bool:
-        """Whether the connection ended before any byte of an answer came."""
-        return self.is_closed and not self.saw_bytes
+        """Whether the connection was closed before any part of a response was received."""
+        return self.is_closed and not self.has_received_data
 
 
 class ClientConnection(protocol.Protocol):
-    """One connection. It also receives the parser's callbacks, whose names httptools sets."""
+    """A client connection; it also implements httptools' parser callbacks (`on_header` etc.)."""
 
     transport: Any
 
     def __init__(
         self, now: Callable[[], float], on_closed: Callable[[ClientConnection], None]
     ) -> None:
-        """Make an end that is not connected yet.
+        """Initialise a connection that is not connected yet.
 
         Args:
-            now: Tells the present, in seconds.
+            now: Returns the current time in seconds.
             on_closed: Called once when the connection is closed.
         """
         self._now = now
         self._on_closed = on_closed
-        self._on_end: Callable[[Response | ConnectionFailure], None] | None = None
-        self._expect: tuple[bytes, bytes] | None = None
+        self._on_done: Callable[[Response | ConnectionFailure], None] | None = None
+        self._expected_field: tuple[bytes, bytes] | None = None
         self._parser: Any = None
         self._fields: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
         self._size = 0
         self._ends_with_connection = False
-        self._is_tainted = False
+        self._has_extra_response = False
         self._has_body = False
-        self._whole: Response | None = None
-        self._idle_limit = DEFAULT_IDLE
+        self._complete: Response | None = None
+        self._idle_limit = DEFAULT_KEEP_ALIVE_SECONDS
         self._idle_since = 0.0
         self.is_closed = False
-        """Whether no request may be sent any more."""
+        """Whether the connection takes no further requests."""
 
-    def is_reusable(self, now: float, share: float = 1.0) -> bool:
-        """Say whether the server certainly still waits for a request.
+    def is_reusable(self, now: float, fraction: float = 1.0) -> bool:
+        """Tell whether the server can be relied on to still wait for a request.
 
         Args:
-            now: The present, in seconds.
-            share: Part of the server's idle time that may have passed.
+            now: Current time in seconds.
+            fraction: Fraction of the server's keep-alive timeout that may have elapsed.
 
         Returns:
-            Whether the connection may be used.
+            Whether the connection is idle and may be used for a request.
         """
-        if self.is_closed or self._on_end is not None:
+        if self.is_closed or self._on_done is not None:
             return False
-        return now - self._idle_since < self._idle_limit * share
+        return now - self._idle_since < self._idle_limit * fraction
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send small requests at once."""
+        """Disable Nagle's algorithm so that small requests are sent immediately."""
         self.transport.setTcpNoDelay(True)
         self._idle_since = self._now()
 
@@ -125,61 +125,63 @@
         self,
         data: bytes,
         has_body: bool,
-        on_end: Callable[[Response | ConnectionFailure], None],
-        expect: tuple[bytes, bytes] | None = None,
+        on_done: Callable[[Response | ConnectionFailure], None],
+        expected_field: tuple[bytes, bytes] | None = None,
     ) -> None:
         """Send a request.
 
         Args:
-            data: Its bytes.
-            has_body: Whether it has a body; a failure answered before the whole body was read
-                leaves the connection unusable.
-            on_end: Called once, unless the connection is aborted first.
-            expect: A header with its value that the answer must carry if it has that header.
+            data: The encoded request.
+            has_body: Whether the request has a body. A response with a status of 300 or more may
+                arrive before the server has read the whole body, so the connection is not reused
+                after it.
+            on_done: Called once with the outcome, unless the connection is aborted first.
+            expected_field: Name and value of a header field that identifies the response to this
+                request.
         """
-        self._on_end = on_end
-        self._expect = expect
+        self._on_done = on_done
+        self._expected_field = expected_field
         self._has_body = has_body
         self._begin()
         immediate_write.write(self.transport, data)
 
     def abort(self) -> None:
-        """Close at once and report nothing."""
-        self._on_end = None
+        """Abort the connection without reporting an outcome."""
+        self._on_done = None
         self._drop()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Feed the parser.
+        """Parse data from the server.
 
         Args:
-            data: Bytes from the server.
+            data: Data received.
         """
-        if self._on_end is None:
-            # Bytes that nobody asked for: a late or a second answer.
+        if self._on_done is None:
+            # Unsolicited data: a late or a duplicate response.
             self._drop()
             return
         problem = ""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            problem = f"not an answer: {error}"
-        whole = self._whole
-        self._whole = None
-        if whole is not None:
-            self._deliver(whole, must_close=bool(problem))
+            problem = f"invalid response: {error}"
+        complete = self._complete
+        self._complete = None
+        if complete is not None:
+            self._deliver(complete, must_close=bool(problem))
         elif problem:
             self._finish(ConnectionFailure(problem, True))
             self._drop()
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Report the end.
+        """Report the outcome of the pending request, if any.
 
         Args:
-            reason: Why, by Twisted.
+            reason: Twisted failure that states why the connection was lost.
         """
         self.is_closed = True
         is_clean = reason is not None and reason.check(net_error.ConnectionDone)
-        if self._ends_with_connection and is_clean and not self._is_foreign():
+        if self._ends_with_connection and is_clean and not self._is_mismatched():
             self._finish(self._response())
         else:
             detail = "closed by the server" if is_clean else "connection lost"
@@ -190,68 +192,68 @@
         self._on_closed(self)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in a header."""
+        """Store a header field."""
         self._fields.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Note how the body is framed."""
+        """Determine whether the body ends with the connection."""
         status = self._parser.get_status_code()
-        is_framed = any(name in _FRAMING for name, _ in self._fields)
+        is_framed = any(name in _FRAMING_FIELDS for name, _ in self._fields)
         self._ends_with_connection = not is_framed and status >= 200 and status not in (204, 304)
 
     def on_body(self, data: bytes) -> None:
-        """Take in a piece of the body."""
+        """Store a chunk of the body."""
         self._size += len(data)
-        if self._size > MAX_BODY:
-            raise ValueError("the body is too long")
+        if self._size > MAX_BODY_BYTES:
+            raise ValueError(f"response body exceeds {MAX_BODY_BYTES} bytes")
         self._body.append(data)
 
     def on_message_begin(self) -> None:
-        """Notice the start of a second answer behind a whole one."""
-        if self._whole is not None:
-            self._is_tainted = True
-            # The whole answer keeps the lists that it was read into.
-            self._begin_next()
+        """Detect a second response that follows a complete one."""
+        if self._complete is not None:
+            self._has_extra_response = True
+            # Resets to new lists; the complete response keeps its own.
+            self._begin_response()
 
     def on_message_complete(self) -> None:
-        """Keep the answer until the parser has seen all bytes that came with it."""
-        if self._whole is not None or self._on_end is None:
+        """Keep the response until the parser has processed all data received with it."""
+        if self._complete is not None or self._on_done is None:
             return
         status = self._parser.get_status_code()
         if status < 200:
-            self._begin_next()
+            self._begin_response()
             return
-        if self._is_foreign():
-            # An answer to an earlier request; the one that is due may follow.
-            self._is_tainted = True
-            self._begin_next()
+        if self._is_mismatched():
+            # The response to an earlier request; the expected one may follow.
+            self._has_extra_response = True
+            self._begin_response()
             return
-        self._note_reuse(status)
-        self._whole = self._response()
+        self._update_keep_alive(status)
+        self._complete = self._response()
 
     def _begin(self) -> None:
-        # One parser reads all answers: what comes between two of them closes the connection.
+        # One parser reads all responses, so data between two responses closes the connection.
         if self._parser is None:
             self._parser = httptools.HttpResponseParser(self)
-        self._whole = None
-        self._begin_next()
+        self._complete = None
+        self._begin_response()
 
-    def _begin_next(self) -> None:
+    def _begin_response(self) -> None:
         self._fields = []
         self._body = []
         self._size = 0
         self._ends_with_connection = False
 
-    def _is_foreign(self) -> bool:
-        """Say whether the answer belongs to another request.
+    def _is_mismatched(self) -> bool:
+        """Tell whether the response belongs to another request.
 
-        An answer must carry what is expected: surplus answers of faulty servers do not, or carry
-        another value. Only a refusal of the request itself (4xx) may leave it out, since a server
-        may not have read that far.
+        A response must carry the expected field. Surplus responses of faulty servers lack it or
+        carry another value. Only a 4xx response may omit it, since the server may have rejected the
+        request before it read the field.
         """
-        if self._expect is None:
+        if self._expected_field is None:
             return False
-        name, value = self._expect
+        name, value = self._expected_field
         is_found = False
         for field, text in self._fields:
             if field == name:
@@ -260,7 +262,7 @@
                     return True
         return not is_found and not 400 <= self._parser.get_status_code() < 500
 
-    def _note_reuse(self, status: int) -> None:
+    def _update_keep_alive(self, status: int) -> None:
         is_early = self._has_body and status >= 300
         if is_early or not self._parser.should_keep_alive():
             self.is_closed = True
@@ -275,21 +277,21 @@
     def _deliver(self, response: Response, must_close: bool) -> None:
         self._ends_with_connection = False
         self._idle_since = self._now()
-        if must_close or self._is_tainted or self.is_closed:
-            self._on_end_then_drop(response)
+        if must_close or self._has_extra_response or self.is_closed:
+            self._finish_and_close(response)
         else:
             self._finish(response)
 
-    def _on_end_then_drop(self, response: Response) -> None:
+    def _finish_and_close(self, response: Response) -> None:
         self.is_closed = True
         self._finish(response)
         self.transport.abortConnection()
 
-    def _finish(self, end: Response | ConnectionFailure) -> None:
-        on_end = self._on_end
-        self._on_end = None
-        if on_end is not None:
-            on_end(end)
+    def _finish(self, outcome: Response | ConnectionFailure) -> None:
+        on_done = self._on_done
+        self._on_done = None
+        if on_done is not None:
+            on_done(outcome)
 
     def _drop(self) -> None:
         self.is_closed = True
@@ -298,9 +300,9 @@
 
 
 def _idle_limit(value: bytes) -> float:
-    """Read the server's idle time from a Keep-Alive field."""
+    """Return the idle limit in seconds that a Keep-Alive field's timeout allows."""
     for part in value.split(b","):
         name, _, seconds = part.partition(b"=")
         if name.strip().lower() == b"timeout" and seconds.strip().isdigit():
-            return max(0.0, int(seconds) - IDLE_MARGIN)
-    return DEFAULT_IDLE
+            return max(0.0, int(seconds) - KEEP_ALIVE_MARGIN_SECONDS)
+    return DEFAULT_KEEP_ALIVE_SECONDS
--- a/src/lineworks/http1/fields.py
+++ b/src/lineworks/http1/fields.py
@@ -1,4 +1,4 @@
-"""Header fields that every HTTP/1.1 hop must know."""
+"""Header fields that every HTTP/1.1 intermediary has to handle."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
         b"expect",
     )
 )
-"""Fields that concern only one connection (RFC 9110, section 7.6.1), and those of the framing."""
+"""Hop-by-hop fields (RFC 9110, section 7.6.1) and fields that frame the message."""
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -35,17 +35,17 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-"""Reason phrases of the statuses that lineworks itself sends."""
+"""Reason phrases of the status codes that lineworks itself sends."""
 
 
-def named_in_connection(fields: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
-    """List the fields that a message declares to concern only its connection.
+def connection_options(fields: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
+    """Return the connection options, the fields that a message declares as hop-by-hop.
 
     Args:
-        fields: Names in lower case, with values.
+        fields: Header fields as pairs of lower-case name and value.
 
     Returns:
-        Names in lower case.
+        Field names in lower case.
     """
     names: set[bytes] = set()
     for name, value in fields:
@@ -55,13 +55,13 @@
 
 
 def end_to_end(fields: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """Keep the fields that a proxy passes on.
+    """Return the fields that a proxy forwards.
 
     Args:
-        fields: Names in lower case, with values.
+        fields: Header fields as pairs of lower-case name and value.
 
     Returns:
-        Those fields, in order.
+        The end-to-end fields, in order.
     """
-    dropped = HOP_BY_HOP | named_in_connection(fields)
+    dropped = HOP_BY_HOP | connection_options(fields)
     return [(name, value) for name, value in fields if name not in dropped]
--- a/src/lineworks/http1/server_connection.py
+++ b/src/lineworks/http1/server_connection.py
@@ -1,7 +1,7 @@
-"""The server's end of an HTTP/1.1 connection: callers' requests, one after the other.
+"""The server side of an HTTP/1.1 connection; a caller's requests are processed in order.
 
-One parser decides all framing; a request whose length is ambiguous is refused and ends the
-connection. Bodies are taken whole before a request is handed on.
+A single parser decides the framing. A request with ambiguous length is refused and closes the
+connection. A request is handed to its handler only when its whole body has been received.
 """
 
 from __future__ import annotations
@@ -19,48 +19,51 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-LINGER = 0.5
-"""Seconds that a refused caller gets to read the answer before the connection is closed."""
+LINGER_SECONDS = 0.5
+"""Seconds for which the connection of a refused request stays open, so that the caller can read the
+response."""
 
-END_FIELDS = ((b"Retry-After", b"0"),)
-"""What is told besides when this process ends before it has read a request: nothing ran, and
-another one takes the next connection at once."""
+SHUTDOWN_FIELDS = ((b"Retry-After", b"0"),)
+"""Header fields of the response to a request that was only partly read when the process stops:
+nothing was executed, and another instance accepts the next connection immediately."""
 
-MAX_WAITING = 16
-"""Requests that a caller may send ahead of answers."""
+MAX_PIPELINED = 16
+"""Maximum number of requests that a caller may send before it reads a response."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request."""
+    """A complete request."""
 
     method: bytes
-    """Method."""
+    """HTTP method."""
 
     target: bytes
-    """Path with the query, as it came."""
+    """Request target as received: path and query string."""
 
     fields: list[tuple[bytes, bytes]] = dataclasses.field(repr=False)
-    """Header fields in order, names in lower case. They hold the caller's key."""
+    """Header fields in order, with names in lower case. They are excluded from the representation
+    because they contain the caller's API key."""
 
     body: bytes
     """The body."""
 
     arrived: float
-    """When its first byte was read, in seconds on the steady clock."""
+    """Arrival time of the first byte, in seconds on the reactor's clock."""
 
     network_delay: float | None = None
-    """Seconds that the caller loses on the way: what it waited until the first byte was here, and
-    what the answer will take. None where the system does not tell."""
+    """Seconds that the network adds to the caller's latency: the time until the first byte arrived
+    here plus the time that the response will take. None if the operating system does not provide a
+    round-trip time."""
 
     def header(self, name: bytes) -> bytes | None:
-        """Find a field that stands once.
+        """Return the value of a field that must not be repeated.
 
         Args:
-            name: Name in lower case.
+            name: Field name in lower case.
 
         Returns:
-            Its value, or None where it is missing or stands more than once.
+            The value, or None if the field is missing or repeated.
         """
         found = [value for field, value in self.fields if field == name]
         return found[0] if len(found) == 1 else None
@@ -68,13 +71,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller gets."""
+    """A response to a caller."""
 
     status: int
-    """HTTP status."""
+    """HTTP status code."""
 
     fields: list[tuple[bytes, bytes]] = dataclasses.field(default_factory=list)
-    """Header fields besides those of the framing."""
+    """Header fields other than those that frame the message."""
 
     body: bytes = b""
     """The body."""
@@ -82,35 +85,36 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What a caller may send."""
+    """Limits on the requests of a caller."""
 
     header_bytes: int = 16384
-    """Bytes of a head."""
+    """Maximum size of a request's head in bytes."""
 
     body_bytes: int = 262144
-    """Bytes of a body."""
+    """Maximum size of a request's body in bytes."""
 
     header_seconds: float = 3.0
-    """Seconds from the first byte to the end of the head."""
+    """Maximum time in seconds from the first byte to the end of the head."""
 
     idle_seconds: float = 15.0
-    """Seconds between requests, and between pieces of a body."""
+    """Maximum idle time in seconds between requests, and between the end of a request's head and
+    its complete body."""
 
 
 class ServerConnection(protocol.Protocol):
-    """One caller's connection. It also receives the parser's callbacks."""
+    """A caller's connection; it also implements httptools' parser callbacks."""
 
     transport: Any
 
     def __init__(self, server: Server) -> None:
-        """Make an end that is not connected yet.
+        """Initialise a connection that is not connected yet.
 
         Args:
-            server: What the connections of a port share.
+            server: The server that accepted the connection.
         """
         self._server = server
         self._parser: Any = httptools.HttpRequestParser(self)
-        self._waiting: collections.deque[Request] = collections.deque()
+        self._queue: collections.deque[Request] = collections.deque()
         self._target = b""
         self._fields: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
@@ -118,48 +122,48 @@
         self._body_size = 0
         self._began_at: float | None = None
         self._is_in_body = False
-        self._is_broken = False
+        self._is_closed = False
         self._must_close = False
         self._timer: Any = None
         self._cancel: Callable[[], None] | None = None
         self._round_trip: float | None = None
-        self._is_first = True
+        self._is_first_request = True
         self._idle_since = server.now()
-        self._leaving: Request | None = None
+        self._last_answered: Request | None = None
         self.is_busy = False
-        """Whether a request waits for its answer or is partly read."""
+        """Whether a request is waiting for its response."""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Wait for the first request."""
+        """Register the connection and wait for its first request."""
         self.transport.setTcpNoDelay(True)
         self._round_trip = tcp_info.round_trip(self.transport.getHandle())
         self._server.connections.add(self)
         self._set_timer(self._server.limits().idle_seconds)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Cancel what the caller no longer waits for."""
+        """Cancel the pending request, and report a final response that was not delivered."""
         self._stop_timer()
         self._server.connections.discard(self)
-        self._is_broken = True
-        self._waiting.clear()
+        self._is_closed = True
+        self._queue.clear()
         cancel = self._cancel
         self._cancel = None
         self.is_busy = False
         if cancel is not None:
             cancel()
-        leaving, self._leaving = self._leaving, None
+        last_answered, self._last_answered = self._last_answered, None
         is_clean = reason is not None and reason.check(error.ConnectionDone)
-        if leaving is not None and not is_clean:
-            self._server.on_undelivered(leaving)
+        if last_answered is not None and not is_clean:
+            self._server.on_undelivered(last_answered)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Feed the parser."""
-        if self._is_broken:
+        """Parse data from the caller."""
+        if self._is_closed:
             return
         if self._began_at is None and not self.is_busy:
-            # Counted from its arrival: a process that stood still reads it late, and its caller
-            # would be answered late by as much.
-            self._began_at = self._server.now() - tcp_info.waited(self.transport.getHandle())
+            # Measured from the arrival of the data: a process that was stalled reads it late, and
+            # would otherwise answer its caller late by the same amount.
+            self._began_at = self._server.now() - tcp_info.read_delay(self.transport.getHandle())
             self._set_timer(self._server.limits().header_seconds)
         if not self._is_in_body:
             self._head_size += len(data)
@@ -171,31 +175,32 @@
         if self._began_at is not None and not self._is_in_body:
             self._check_head()
 
-    def close_if_idle(self, rest: float = 0.0) -> None:
-        """Close the connection unless a request is under way, or may be on its way.
+    def close_if_idle(self, grace: float = 0.0) -> None:
+        """Close the connection unless a request is in progress or may still be in transit.
 
         Args:
-            rest: Seconds since the opening or the last answer in which one may be.
+            grace: Seconds after the connection opened, or after its last response, during which a
+                request may be in transit.
         """
-        is_at_rest = self._server.now() >= self._idle_since + rest
-        if not self.is_busy and self._began_at is None and not self._is_broken and is_at_rest:
-            self._is_broken = True
+        is_grace_over = self._server.now() >= self._idle_since + grace
+        if not self.is_busy and self._began_at is None and not self._is_closed and is_grace_over:
+            self._is_closed = True
             self.transport.loseConnection()
 
     def shut_down(self) -> None:
-        """Refuse a request that is partly read, because the process ends; close when at rest.
+        """Refuse a partly read request, or close an idle connection, because the process stops.
 
-        A connection without any request stays open: its first one may be on its way.
+        A connection that has had no request yet stays open, since its first one may be in transit.
         """
-        if self.is_busy or self._is_broken:
+        if self.is_busy or self._is_closed:
             return
         if self._began_at is not None:
-            self._refuse(503, END_FIELDS)
-        elif not self._is_first:
+            self._refuse(503, SHUTDOWN_FIELDS)
+        elif not self._is_first_request:
             self.close_if_idle()
 
     def on_message_begin(self) -> None:
-        """Start to collect a request."""
+        """Reset the state for a new request."""
         if self._began_at is None:
             self._began_at = self._server.now()
         self._target = b""
@@ -204,24 +209,24 @@
         self._body_size = 0
 
     def on_url(self, url: bytes) -> None:
-        """Take in a piece of the request target."""
+        """Store a chunk of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in a header."""
+        """Store a header field."""
         self._fields.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check the head's size and let a waiting caller send the body."""
+        """Check the size of the head, and send 100 (Continue) if the caller expects it."""
         self._is_in_body = True
         self._check_head()
-        if not self._is_broken:
+        if not self._is_closed:
             self._set_timer(self._server.limits().idle_seconds)
             if any(field == (b"expect", b"100-continue") for field in self._fields):
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Take in a piece of the body."""
+        """Store a chunk of the body."""
         self._body_size += len(data)
         if self._body_size > self._server.limits().body_bytes:
             self._refuse(413)
@@ -230,7 +235,7 @@
 
     def on_message_complete(self) -> None:
         """Queue the request."""
-        if self._is_broken:
+        if self._is_closed:
             return
         self._is_in_body = False
         self._head_size = 0
@@ -240,20 +245,20 @@
         is_last = not self._parser.should_keep_alive()
         body = b"".join(self._body)
         request = Request(
-            method, self._target, self._fields, body, arrived, self._take_caller_way()
+            method, self._target, self._fields, body, arrived, self._take_network_delay()
         )
         self._must_close = self._must_close or is_last
-        self._waiting.append(request)
-        if len(self._waiting) > MAX_WAITING:
+        self._queue.append(request)
+        if len(self._queue) > MAX_PIPELINED:
             self._refuse(400)
             return
         if not self.is_busy:
-            self._next()
+            self._dispatch_next()
 
-    def _take_caller_way(self) -> float | None:
-        """Tell what the way costs a request's caller: one round trip, two with a new connection."""
-        trips = 2 if self._is_first else 1
-        self._is_first = False
+    def _take_network_delay(self) -> float | None:
+        """Return a request's network delay: one round trip, or two for a new connection."""
+        trips = 2 if self._is_first_request else 1
+        self._is_first_request = False
         return None if self._round_trip is None else trips * self._round_trip
 
     def _check_head(self) -> None:
@@ -264,41 +269,41 @@
         ):
             self._refuse(431)
 
-    def _next(self) -> None:
-        """Hand the next request on."""
-        if not self._waiting or self._is_broken:
+    def _dispatch_next(self) -> None:
+        """Hand the next queued request to the handler."""
+        if not self._queue or self._is_closed:
             return
         self._stop_timer()
         self.is_busy = True
-        request = self._waiting.popleft()
+        request = self._queue.popleft()
         is_answered = False
 
-        def answer(found: Answer) -> None:
+        def respond(answer: Answer) -> None:
             nonlocal is_answered
             if is_answered:
                 return
             is_answered = True
             self._cancel = None
-            self._write(request, found)
+            self._write(request, answer)
 
-        cancel = self._server.on_request(request, answer)
+        cancel = self._server.on_request(request, respond)
         if not is_answered:
             self._cancel = cancel
 
     def _write(self, request: Request, answer: Answer) -> None:
-        if self._is_broken:
+        if self._is_closed:
             return
-        # Requests that were sent ahead and read are answered, too, before the connection closes.
-        is_last = not self._waiting and (self._must_close or self._server.is_closing())
+        # Pipelined requests that were already read are answered before the connection closes.
+        is_last = not self._queue and (self._must_close or self._server.is_closing())
         immediate_write.write(self.transport, _encode(answer, is_last, request.method == b"HEAD"))
         self.is_busy = False
         if is_last:
-            self._is_broken = True
-            self._leaving = request
+            self._is_closed = True
+            self._last_answered = request
             self.transport.loseConnection()
             return
-        if self._waiting:
-            self._server.call_later(0, self._next)
+        if self._queue:
+            self._server.call_later(0, self._dispatch_next)
             self.is_busy = True
             return
         self._idle_since = self._server.now()
@@ -307,22 +312,22 @@
         self._set_timer(limits.idle_seconds if is_idle else limits.header_seconds)
 
     def _refuse(self, status: int, fields: Sequence[tuple[bytes, bytes]] = ()) -> None:
-        """Answer a request that can't be read, and close once the caller could read that."""
-        if self._is_broken:
+        """Refuse a request that can't be read, and close the connection after a linger time."""
+        if self._is_closed:
             return
-        self._is_broken = True
+        self._is_closed = True
         self._stop_timer()
         self._server.on_refused(status)
         if self._cancel is None:
             self.transport.write(_encode(Answer(status, list(fields)), True, False))
-        self._server.call_later(LINGER, self.transport.loseConnection)
+        self._server.call_later(LINGER_SECONDS, self.transport.loseConnection)
 
     def _on_timer(self) -> None:
         self._timer = None
-        if self._is_broken or self.is_busy:
+        if self._is_closed or self.is_busy:
             return
         if self._began_at is None:
-            self._is_broken = True
+            self._is_closed = True
             self.transport.loseConnection()
         else:
             self._refuse(408)
@@ -338,7 +343,7 @@
 
 
 class Server(protocol.Factory):
-    """What the connections of one port share."""
+    """State and callbacks shared by all connections of one port."""
 
     noisy = False
 
@@ -351,18 +356,19 @@
         on_refused: Callable[[int], None] = lambda status: None,
         on_undelivered: Callable[[Request], None] = lambda request: None,
     ) -> None:
-        """Start without connections.
+        """Initialise without connections.
 
         Args:
-            clock: Twisted's reactor, or a clock of tests.
-            limits: Tells the limits in force.
-            on_request: Takes each request with a function that answers it once, and returns what
-                cancels it when its caller leaves.
-            is_closing: Says whether answers end their connections.
-            on_refused: Takes the status of each request that could not be read.
-            on_undelivered: Takes each request whose answer was the last one of its connection and
-                had not left this process when the connection was lost. An answer that is written
-                is not one that its caller got: the log must be able to tell them apart.
+            clock: Twisted's reactor, or a test clock.
+            limits: Returns the limits currently in force.
+            on_request: Called with each request and a function that sends its response; only the
+                function's first call has an effect. Returns a function that cancels the request,
+                called when the caller disconnects, or None.
+            is_closing: Returns whether connections are closed after their next response.
+            on_refused: Called with the status code of each request that could not be read.
+            on_undelivered: Called with each request whose response was the last of its connection
+                and had not been sent completely when the connection was lost. A response that was
+                written is not necessarily delivered, and the log must distinguish the two.
         """
         self._clock = clock
         self.limits = limits
@@ -374,21 +380,21 @@
         """Open connections."""
 
     def now(self) -> float:
-        """Tell the present, in seconds."""
+        """Return the current time in seconds."""
         seconds: float = self._clock.seconds()
         return seconds
 
     def call_later(self, seconds: float, call: Callable[[], Any]) -> Any:
-        """Schedule a call."""
+        """Schedule a call after a number of seconds."""
         return self._clock.callLater(seconds, call)
 
     def buildProtocol(self, addr: Any) -> ServerConnection:  # noqa: N802
-        """Make the end of a new connection."""
+        """Create the protocol of a new connection."""
         return ServerConnection(self)
 
 
 def _encode(answer: Answer, is_last: bool, is_head: bool) -> bytes:
-    reason = http_fields.REASONS.get(answer.status, b"Status")
+    reason = http_fields.REASON_PHRASES.get(answer.status, b"Status")
     lines = [b"HTTP/1.1 %d %s" % (answer.status, reason)]
     lines += [name + b": " + value for name, value in answer.fields]
     if answer.status not in (204, 304):
--- a/src/lineworks/kernel/__init__.py
+++ b/src/lineworks/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""The micro-kernel: named services, their start and stop order, and mailboxes."""
+"""Process foundation: the service registry, the reactor, tasks, sockets and start-up helpers."""
--- a/src/lineworks/kernel/early_acceptor.py
+++ b/src/lineworks/kernel/early_acceptor.py
@@ -1,9 +1,10 @@
-"""Answers callers whose time runs out while the process is still importing.
+"""Accepts connections on a background thread while the process is still importing modules.
 
-Callers connect to the open port and wait for the event loop to read them. On a starved machine the
-imports take longer than they wait. A thread accepts them meanwhile and refuses, as not run, those
-whose time is nearly over; the others are handed to the event loop with what they sent. The module
-imports nothing of Twisted.
+Callers connect to the open port and wait for the event loop to read their requests. On a machine
+short of processor time the imports can take longer than the callers' time budgets. Until the event
+loop runs, a thread accepts their connections and answers 503 (nothing was executed) to each request
+whose budget is nearly used up. All other connections are handed to the event loop together with the
+data received so far. This module must not import Twisted, which is slow to import.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-REFUSED_SHARE = 0.8
-"""Share of its time after which a caller is refused: most imports are done long before, and what is
-left is enough for the answer's way."""
+REFUSAL_BUDGET_FRACTION = 0.8
+"""Fraction of a request's time budget after which it is refused. Most imports finish long before
+that, and the remaining time is enough to deliver the response."""
 
-LOOK_SECONDS = 0.02
-"""Seconds between looks at whose time is nearly over, while anybody waits."""
+POLL_SECONDS = 0.02
+"""Interval in seconds at which budgets are checked while any connection is waiting."""
 
-MOST_CALLERS = 512
-"""Connections that are accepted; others wait for the event loop."""
+MAX_CONNECTIONS = 512
+"""Maximum number of connections accepted; further ones stay in the backlog for the event loop."""
 
-MOST_BYTES = 65536
-"""Bytes that are read of a caller; the rest stays in its socket."""
+MAX_BUFFERED_BYTES = 65536
+"""Maximum number of bytes read from a connection; the rest stays in its socket buffer."""
 
 _HEAD_END = b"\r\n\r\n"
 
@@ -45,123 +46,125 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Caller:
-    """A connection that was accepted early."""
+class _Connection:
+    """A connection accepted before the event loop runs."""
 
     socket: socket.socket
     data: bytes = b""
-    refused_at: float = float("inf")
+    refuse_at: float = float("inf")
     is_refused: bool = False
 
 
 class EarlyAcceptor:
-    """A listening port and who connected to it before the event loop runs."""
+    """Accepts connections on a listening socket until a reactor takes over."""
 
-    def __init__(self, opened: socket.socket, read_budget: Callable[[bytes], float | None]) -> None:
-        """Watch nothing yet.
+    def __init__(
+        self, listening_socket: socket.socket, read_budget: Callable[[bytes], float | None]
+    ) -> None:
+        """Initialise without accepting connections yet.
 
         Args:
-            opened: The listening socket.
-            read_budget: Reads from a request's head the seconds that its caller waits; None where
-                it does not tell.
+            listening_socket: The listening socket.
+            read_budget: Returns the time budget in seconds that a request's head states, or None
+                if it states none.
         """
-        self._opened = opened
+        self._listening_socket = listening_socket
         self._read_budget = read_budget
-        self._callers: dict[int, _Caller] = {}
+        self._connections: dict[int, _Connection] = {}
         self._selector = selectors.DefaultSelector()
-        self._woken, self._wake = os.pipe()
-        self._thread = threading.Thread(target=self._run, name="early callers", daemon=True)
+        self._wakeup_reader, self._wakeup_writer = os.pipe()
+        self._thread = threading.Thread(target=self._run, name="early acceptor", daemon=True)
         self._errors: list[str] = []
 
     @property
     def errors(self) -> list[str]:
-        """What went wrong while there was no log."""
+        """Errors that occurred before logging was set up."""
         return self._errors
 
     def start(self) -> None:
-        """Begin to accept callers."""
-        self._selector.register(self._opened, selectors.EVENT_READ)
-        self._selector.register(self._woken, selectors.EVENT_READ)
+        """Start the thread that accepts connections."""
+        self._selector.register(self._listening_socket, selectors.EVENT_READ)
+        self._selector.register(self._wakeup_reader, selectors.EVENT_READ)
         self._thread.start()
 
     def adopt(self, reactor: Any, factory: Any) -> Any:
-        """Hand the port and all that wait to a reactor.
+        """Stop the thread and hand the listening socket and the open connections to a reactor.
 
         Args:
             reactor: Twisted's reactor.
-            factory: Makes the protocol of each connection.
+            factory: Twisted factory that builds the protocol of each connection.
 
         Returns:
-            Twisted's port.
+            Twisted's listening port.
         """
-        os.write(self._wake, b"x")
+        os.write(self._wakeup_writer, b"x")
         self._thread.join()
         self._selector.close()
-        os.close(self._wake)
-        os.close(self._woken)
-        port = listening.adopt(reactor, self._opened, factory)
-        for caller in self._callers.values():
-            if not caller.is_refused:
-                _hand_over(reactor, factory, caller)
-            caller.socket.close()
+        os.close(self._wakeup_writer)
+        os.close(self._wakeup_reader)
+        port = listening.adopt(reactor, self._listening_socket, factory)
+        for connection in self._connections.values():
+            if not connection.is_refused:
+                _hand_over(reactor, factory, connection)
+            connection.socket.close()
         return port
 
     def _run(self) -> None:
         while True:
-            is_waiting = any(not caller.is_refused for caller in self._callers.values())
-            ready = self._selector.select(LOOK_SECONDS if is_waiting else None)
+            is_waiting = any(not connection.is_refused for connection in self._connections.values())
+            ready = self._selector.select(POLL_SECONDS if is_waiting else None)
             for key, _ in ready:
-                if key.fileobj == self._woken:
+                if key.fileobj == self._wakeup_reader:
                     return
-                if key.fileobj is self._opened:
+                if key.fileobj is self._listening_socket:
                     self._accept()
                 else:
-                    self._read(self._callers[key.fd])
+                    self._read(self._connections[key.fd])
             self._refuse_due()
 
     def _accept(self) -> None:
         try:
-            accepted, _ = self._opened.accept()
+            accepted, _ = self._listening_socket.accept()
         except BlockingIOError:
-            # Its caller left before.
+            # The peer disconnected before its connection was accepted.
             return
         except OSError as error:
             self._errors.append(repr(error))
-            self._selector.unregister(self._opened)
+            self._selector.unregister(self._listening_socket)
             return
         accepted.setblocking(False)
-        self._callers[accepted.fileno()] = _Caller(accepted)
+        self._connections[accepted.fileno()] = _Connection(accepted)
         self._selector.register(accepted, selectors.EVENT_READ)
-        if len(self._callers) >= MOST_CALLERS:
-            self._selector.unregister(self._opened)
+        if len(self._connections) >= MAX_CONNECTIONS:
+            self._selector.unregister(self._listening_socket)
 
-    def _read(self, caller: _Caller) -> None:
+    def _read(self, connection: _Connection) -> None:
         try:
-            data = caller.socket.recv(MOST_BYTES - len(caller.data))
+            data = connection.socket.recv(MAX_BUFFERED_BYTES - len(connection.data))
         except BlockingIOError:
             return
         except OSError:
-            # Reset by its caller: the reactor finds that out by itself.
+            # The peer reset the connection; the reactor detects that itself.
             data = b""
-        caller.data += data
-        if not data or len(caller.data) >= MOST_BYTES:
-            self._selector.unregister(caller.socket)
-        if caller.refused_at == float("inf") and _HEAD_END in caller.data:
-            budget = self._read_budget(caller.data)
+        connection.data += data
+        if not data or len(connection.data) >= MAX_BUFFERED_BYTES:
+            self._selector.unregister(connection.socket)
+        if connection.refuse_at == float("inf") and _HEAD_END in connection.data:
+            budget = self._read_budget(connection.data)
             if budget is not None:
-                caller.refused_at = _now() + REFUSED_SHARE * budget
+                connection.refuse_at = _now() + REFUSAL_BUDGET_FRACTION * budget
 
     def _refuse_due(self) -> None:
         now = _now()
-        for caller in self._callers.values():
-            if not caller.is_refused and caller.refused_at <= now:
-                self._refuse(caller)
+        for connection in self._connections.values():
+            if not connection.is_refused and connection.refuse_at <= now:
+                self._refuse(connection)
 
-    def _refuse(self, caller: _Caller) -> None:
-        caller.is_refused = True
+    def _refuse(self, connection: _Connection) -> None:
+        connection.is_refused = True
         try:
-            caller.socket.send(_REFUSAL)
-            caller.socket.shutdown(socket.SHUT_WR)
+            connection.socket.send(_REFUSAL)
+            connection.socket.shutdown(socket.SHUT_WR)
         except OSError as error:
             self._errors.append(repr(error))
 
@@ -170,13 +173,13 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def _hand_over(reactor: Any, factory: Any, caller: _Caller) -> None:
-    """Give a connection to a reactor, with what was read of it."""
+def _hand_over(reactor: Any, factory: Any, connection: _Connection) -> None:
+    """Hand a connection to a reactor and deliver the data already read from it."""
     try:
-        caller.socket.getpeername()
+        connection.socket.getpeername()
     except OSError:
-        # Its caller is gone.
+        # The peer has disconnected.
         return
-    transport = reactor.adoptStreamConnection(caller.socket.fileno(), socket.AF_INET, factory)
-    if caller.data:
-        transport.protocol.dataReceived(caller.data)
+    transport = reactor.adoptStreamConnection(connection.socket.fileno(), socket.AF_INET, factory)
+    if connection.data:
+        transport.protocol.dataReceived(connection.data)
--- a/src/lineworks/kernel/early_signals.py
+++ b/src/lineworks/kernel/early_signals.py
@@ -1,7 +1,8 @@
-"""Signals that come while a process is still importing.
+"""Handles signals that arrive while the process is still importing modules.
 
-By default they would end it on the spot: callers wait on its open port by then, and their
-connections would be reset with requests in them. The module imports nothing of Twisted.
+By default these signals would terminate the process immediately. Callers are already connected to
+its open port by then, so their connections would be reset with requests in flight. This module must
+not import Twisted, which is slow to import.
 """
 
 from __future__ import annotations
@@ -10,23 +11,23 @@
 import time
 from typing import Any
 
-_stop_asked_at: list[float] = []
+_stop_requested_at: list[float] = []
 
 
 def install_handlers() -> None:
-    """Note signals to stop, and ignore the one that settings changed: they are read later."""
+    """Record SIGTERM for later, and ignore SIGHUP, since the settings are yet to be read."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, _on_stop)
 
 
 def stop_requested_at() -> float | None:
-    """Tell when a signal to stop came.
+    """Return when the first SIGTERM arrived.
 
     Returns:
-        Seconds on the clock of `steady_reactor`, or None when none came.
+        Time in seconds on the clock of `steady_reactor`, or None if none arrived.
     """
-    return _stop_asked_at[0] if _stop_asked_at else None
+    return _stop_requested_at[0] if _stop_requested_at else None
 
 
 def _on_stop(number: int, frame: Any) -> None:
-    _stop_asked_at.append(time.clock_gettime(time.CLOCK_BOOTTIME))
+    _stop_requested_at.append(time.clock_gettime(time.CLOCK_BOOTTIME))
--- a/src/lineworks/kernel/immediate_write.py
+++ b/src/lineworks/kernel/immediate_write.py
@@ -1,7 +1,8 @@
-"""Writes that leave at once, and not when the reactor gets to them.
+"""Writes data to the socket immediately instead of waiting for the reactor.
 
-Twisted keeps what is written until all that arrived together has been dealt with. A search that
-asks a hundred targets, or reads as many answers, is at work for many milliseconds by then.
+Twisted buffers written data until all events of the current reactor iteration are processed. A
+search that sends a hundred sub-queries, or reads as many replies, keeps the iteration busy for many
+milliseconds.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 
 
 def write(transport: Any, data: bytes) -> None:
-    """Write, and hand the system at once what it takes; the rest leaves as usual.
+    """Write data and flush as much as the socket buffer accepts; the reactor sends the rest.
 
     Args:
-        transport: The transport, of Twisted or a stand-in.
-        data: The bytes.
+        transport: A Twisted transport or a test double.
+        data: Data to write.
     """
     transport.write(data)
-    # A transport that is lost has no socket left. What fails now is left to the reactor: it still
-    # watches the transport, tries again and reports the loss.
+    # A lost transport has no socket any more. If the flush fails, the reactor handles it: it still
+    # watches the transport, retries the write and reports the lost connection.
     is_real = isinstance(transport, abstract.FileDescriptor)
     if is_real and transport.connected and not transport.disconnecting:
         transport.doWrite()
--- a/src/lineworks/kernel/lean_imports.py
+++ b/src/lineworks/kernel/lean_imports.py
@@ -1,8 +1,8 @@
-"""Keeps modules that nothing here uses from being imported by libraries.
+"""Prevents third-party libraries from importing slow modules that this program does not use.
 
-Twisted's compatibility module imports `http.cookiejar` to offer it under an older name, and with it
-come `urllib.request`, `http.client`, `email` and `ssl`: a sixth of the time that a process takes to
-start, which callers wait for after every loss of power.
+Twisted's compatibility module imports `http.cookiejar` only to re-export it under an older name.
+That pulls in `urllib.request`, `http.client`, `email` and `ssl`, which account for a sixth of the
+process's start-up time; callers wait for the start-up after every power failure.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-UNUSED = ("http.cookiejar",)
-"""Modules that Twisted imports only to offer them again."""
+UNUSED_MODULES = ("http.cookiejar",)
+"""Modules that Twisted imports only to re-export them."""
 
 
 @contextlib.contextmanager
 def without_unused() -> Iterator[None]:
-    """Put empty modules in the place of the unused ones while libraries are imported.
+    """Replace the unused modules with empty stubs while libraries are imported.
 
-    A module that was imported before stays. Afterwards the empty ones are gone, so that whoever
-    imports such a module later gets the real one.
+    A module that is already imported is kept. The stubs are removed on exit, so a later import of
+    such a module gets the real one.
 
     Yields:
-        Nothing.
+        None.
     """
-    empty = {name: types.ModuleType(name) for name in UNUSED if name not in sys.modules}
-    sys.modules.update(empty)
+    stubs = {name: types.ModuleType(name) for name in UNUSED_MODULES if name not in sys.modules}
+    sys.modules.update(stubs)
     try:
         yield
     finally:
-        for name, module in empty.items():
+        for name, module in stubs.items():
             if sys.modules.get(name) is module:
                 del sys.modules[name]
--- a/src/lineworks/kernel/listening.py
+++ b/src/lineworks/kernel/listening.py
@@ -1,8 +1,9 @@
-"""Opens a listening port before anything slow is imported.
+"""Opens a listening port before any slow import, and closes it without losing connections.
 
-A process that starts imports for some tenths of a second. Callers who connect in that time would be
-refused by the operating system and use up their retries; on an open port they wait until the
-reactor takes the port over. The module imports nothing of Twisted before that for this reason.
+A starting process spends some tenths of a second on imports. If the port were closed meanwhile, the
+operating system would refuse callers' connections and they would use up their retries. With the
+port open, their connections wait in the backlog until the reactor takes over. This module therefore
+must not import Twisted at module level.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from typing import Any
 
 BACKLOG = 512
-"""Connections that may wait to be accepted."""
+"""Maximum number of connections that wait to be accepted."""
 
 
 def open_port(host: str, port: int) -> socket.socket:
@@ -19,56 +20,58 @@
 
     Args:
         host: IPv4 address.
-        port: Port; 0 for any.
+        port: Port number; 0 for any free port.
 
     Returns:
-        The listening socket, which does not block.
+        The listening socket, in non-blocking mode.
 
     Raises:
-        OSError: The port is in use, or the address is not this machine's.
+        OSError: The port is in use, or the address does not belong to this machine.
     """
-    opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        opened.setblocking(False)
-        opened.bind((host, port))
-        opened.listen(BACKLOG)
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening_socket.setblocking(False)
+        listening_socket.bind((host, port))
+        listening_socket.listen(BACKLOG)
     except OSError:
-        opened.close()
+        listening_socket.close()
         raise
-    return opened
+    return listening_socket
 
 
-def adopt(reactor: Any, opened: socket.socket, factory: Any) -> Any:
-    """Hand a listening socket to a reactor; connections that wait on it are accepted.
+def adopt(reactor: Any, listening_socket: socket.socket, factory: Any) -> Any:
+    """Hand a listening socket to a reactor, which accepts the connections waiting on it.
 
     Args:
         reactor: Twisted's reactor.
-        opened: What `open_port` returned; it is closed, the reactor keeps a copy.
-        factory: Makes the protocol of each connection.
+        listening_socket: A socket returned by `open_port`. It is closed here; the reactor keeps a
+            duplicate.
+        factory: Twisted factory that builds the protocol of each connection.
 
     Returns:
-        Twisted's port.
+        Twisted's listening port.
     """
-    port = reactor.adoptStreamPort(opened.fileno(), socket.AF_INET, factory)
-    opened.close()
+    port = reactor.adoptStreamPort(listening_socket.fileno(), socket.AF_INET, factory)
+    listening_socket.close()
     return port
 
 
 def close(port: Any) -> None:
-    """Close a listening port after accepting what waits on it.
+    """Accept the connections waiting on a listening port, then close the port.
 
-    The system resets connections that are established and not accepted yet; their callers have
-    sent requests by then and could not know that nothing read them.
+    The operating system resets connections that are established but not accepted yet. Their callers
+    may have sent requests already and could not tell that these were never read.
 
     Args:
-        port: Twisted's port.
+        port: Twisted's listening port.
     """
     from twisted.internet import main
     from twisted.python import failure
 
-    # Twisted adapts this number to how many waited lately.
+    # Twisted adapts the number of accepts per read event to the recent load.
     port.numberAccepts = BACKLOG
     port.doRead()
-    # At once: `stopListening` closes in the next turn, and what connects until then is reset.
+    # `stopListening` would close the port only in the next reactor iteration, and connections made
+    # until then would be reset.
     port.connectionLost(failure.Failure(main.CONNECTION_DONE))
--- a/src/lineworks/kernel/mailbox.py
+++ b/src/lineworks/kernel/mailbox.py
@@ -1,4 +1,4 @@
-"""Mailboxes: a task handles its messages one at a time, in order."""
+"""Mailboxes: a message queue whose handler processes one message at a time, in order."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 
 class Mailbox(Generic[T]):
-    """Hands messages to a handler, never one inside another.
+    """Passes messages to a handler without reentrancy.
 
-    A message posted while the handler runs waits until the handler has returned.
+    A message posted while the handler runs is queued until the handler returns.
     """
 
     def __init__(self, handler: Callable[[T], None]) -> None:
-        """Start empty.
+        """Initialise with an empty queue.
 
         Args:
             handler: Called with each message.
         """
         self._handler = handler
-        self._waiting: collections.deque[T] = collections.deque()
+        self._queue: collections.deque[T] = collections.deque()
         self._is_running = False
 
     def post(self, message: T) -> None:
-        """Hand over a message.
+        """Queue a message, and process the queue unless the handler is already running.
 
         Args:
             message: The message.
         """
-        self._waiting.append(message)
+        self._queue.append(message)
         if self._is_running:
             return
         self._is_running = True
         try:
-            while self._waiting:
-                self._handler(self._waiting.popleft())
+            while self._queue:
+                self._handler(self._queue.popleft())
         finally:
             self._is_running = False
--- a/src/lineworks/kernel/rate_limited_log.py
+++ b/src/lineworks/kernel/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log lines of bounded number: a token bucket a kind, and a count of what was left out."""
+"""Rate-limited logging: a token bucket for each kind of line, and a count of suppressed lines."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from lineworks.decisions import estimators
 
 BURST_SECONDS = 2.0
-"""Seconds of a bucket's rate that it holds at most."""
+"""Capacity of the bucket, in seconds of its rate."""
 
 REPORT_SECONDS = 1.0
-"""Seconds between lines that tell how many were left out."""
+"""Minimum interval in seconds between lines that report the number of suppressed lines."""
 
 
 class RateLimitedLog:
-    """Writes the lines of one kind, as many as its rate allows."""
+    """Logs lines of one kind at a limited rate and suppresses the rest."""
 
     def __init__(self, clock: Any, component: str, rate: float) -> None:
-        """Start with a full bucket.
+        """Initialise with a full bucket.
 
         Args:
-            clock: Tells the present, as Twisted's reactor does.
-            component: Name of the part that writes.
-            rate: Lines a second.
+            clock: Clock with the interface of Twisted's `IReactorTime`.
+            component: Name of the logging component.
+            rate: Maximum number of lines per second.
         """
         self._clock = clock
         self._log = structlog.get_logger(component=component)
@@ -32,27 +32,27 @@
         self._tokens = estimators.Budget(max(1.0, BURST_SECONDS * rate))
         self._refilled_at = clock.seconds()
         self._reported_at = clock.seconds()
-        self.left_out = 0
-        """Lines left out and not told of yet."""
+        self.suppressed = 0
+        """Number of suppressed lines that have not been reported yet."""
         self.suppressed_total = 0
-        """Lines left out since the start."""
+        """Number of lines suppressed since the start."""
 
     def info(self, event: str, **fields: Any) -> None:
-        """Write a line, or count it as left out.
+        """Log a line, or suppress and count it when the rate is exceeded.
 
         Args:
-            event: What happened.
-            fields: What decided it.
+            event: Name of the event.
+            fields: Fields of the log line.
         """
         now = self._clock.seconds()
         self._tokens.earn((now - self._refilled_at) * self._rate)
         self._refilled_at = now
-        if self.left_out and now - self._reported_at >= REPORT_SECONDS:
-            self._log.warning("lines_left_out", kind=event, count=self.left_out)
-            self.left_out = 0
+        if self.suppressed and now - self._reported_at >= REPORT_SECONDS:
+            self._log.warning("lines_left_out", kind=event, count=self.suppressed)
+            self.suppressed = 0
             self._reported_at = now
         if self._tokens.spend():
             self._log.info(event, **fields)
         else:
-            self.left_out += 1
+            self.suppressed += 1
             self.suppressed_total += 1
--- a/src/lineworks/kernel/registry.py
+++ b/src/lineworks/kernel/registry.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services that find each other by name, started and stopped in order."""
+"""Service registry: looks services up by name, and starts and stops them in order."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class Service(Protocol):
-    """A task with a life of its own."""
+    """A component that is started and stopped with the process."""
 
     def start(self) -> Awaitable[Any] | None:
-        """Begin; services registered earlier are running by now."""
+        """Start; services registered earlier are running already."""
 
     def stop(self) -> Awaitable[Any] | None:
-        """End; services registered later have ended by now."""
+        """Stop; services registered later have stopped already."""
 
 
 class ServiceNameError(Exception):
-    """A service name is taken, or names nothing."""
+    """A service name is already registered, or is not registered at all."""
 
 
 class Kernel:
-    """Keeps the services of one process."""
+    """The services of one process."""
 
     def __init__(self) -> None:
         self._services: dict[str, Service] = {}
@@ -38,52 +38,52 @@
         return tuple(self._services)
 
     def register(self, name: str, service: Service) -> None:
-        """Add a service.
+        """Register a service.
 
         Args:
-            name: Its name.
+            name: Unique name of the service.
             service: The service.
 
         Raises:
-            ServiceNameError: The name is taken.
+            ServiceNameError: The name is already registered.
         """
         if name in self._services:
-            raise ServiceNameError(f"the service name {name!r} is taken")
+            raise ServiceNameError(f"service {name!r} is already registered")
         self._services[name] = service
 
     def get(self, name: str, kind: type[T]) -> T:
-        """Find a service.
+        """Return a service by name.
 
         Args:
-            name: Its name.
-            kind: The class that the caller expects.
+            name: Name of the service.
+            kind: Expected class, for the type checker only; it is not checked at run time.
 
         Returns:
             The service.
 
         Raises:
-            ServiceNameError: There is no such service.
+            ServiceNameError: No service is registered under the name.
         """
         if name not in self._services:
-            raise ServiceNameError(f"there is no service {name!r}")
+            raise ServiceNameError(f"service {name!r} is not registered")
         return cast("T", self._services[name])
 
     async def start(self) -> None:
-        """Start all services in order of registration; on an error stop those started."""
+        """Start all services in order of registration; if one fails, stop those started."""
         try:
             for name, service in self._services.items():
-                await _maybe_wait(service.start())
+                await _await_if_needed(service.start())
                 self._started.append(name)
         except BaseException:
             await self.stop()
             raise
 
     async def stop(self) -> None:
-        """Stop the started services, last started first."""
+        """Stop the started services in reverse order."""
         while self._started:
-            await _maybe_wait(self._services[self._started.pop()].stop())
+            await _await_if_needed(self._services[self._started.pop()].stop())
 
 
-async def _maybe_wait(result: Any) -> None:
+async def _await_if_needed(result: Any) -> None:
     if result is not None and (inspect.isawaitable(result) or hasattr(result, "__await__")):
         await result
--- a/src/lineworks/kernel/steady_reactor.py
+++ b/src/lineworks/kernel/steady_reactor.py
@@ -1,9 +1,9 @@
-"""A Twisted reactor whose timers follow the steady clock that counts suspensions.
+"""A Twisted reactor whose timers use `CLOCK_BOOTTIME`, which also counts suspended time.
 
-Twisted's default reactor counts by the time of day. Where that jumps, every timer fires early or
-late by as much, so deadlines, heartbeats and leases would be wrong for as long as the jump lasts.
-The monotonic clock stands while a machine is suspended: whatever ends by the time of others, such
-as credit that was handed over, would live on by as much.
+Twisted's default reactor uses the wall clock. A jump of the wall clock makes every timer fire early
+or late by as much, so deadlines, heartbeats and leases would be wrong. The monotonic clock stops
+while the machine is suspended: anything that expires by the clocks of other machines, such as
+credit granted to this instance, would stay valid here for the time of the suspension.
 """
 
 from __future__ import annotations
@@ -13,42 +13,43 @@
 
 from twisted.internet import epollreactor, main
 
-STOOD_STILL_SECONDS = 0.25
-"""Seconds between two turns of the loop from which on the process counts as having stood still: its
-tasks look around every 0.05 seconds, so only a suspension, a freeze or a starved machine takes so
-long."""
+STALL_SECONDS = 0.25
+"""Minimum gap in seconds between two reactor iterations that counts as a stall of the process. Its
+tasks run every 0.05 seconds, so only a suspension, a freeze or processor starvation causes such a
+gap."""
 
 
 class SteadyReactor(epollreactor.EPollReactor):
-    """The epoll reactor on the time since the system's start, suspensions included."""
+    """An epoll reactor whose clock counts the time since boot, including suspensions."""
 
     def __init__(self) -> None:
-        """Make a reactor that has not run yet."""
+        """Initialise a reactor that has not run yet."""
         super().__init__()
-        self._turned_at: float | None = None
+        self._last_run_at: float | None = None
 
     def runUntilCurrent(self) -> None:  # noqa: N802
-        """Make the calls that are due; first read what arrived while the process stood still.
+        """Run the calls that are due; after a stall, first read the data that has arrived.
 
-        Otherwise each wake would hedge and give up requests whose answers lie in the sockets.
+        Otherwise a process that resumes would hedge or give up requests whose responses are already
+        in the socket buffers.
         """
-        turned_at = self._turned_at
-        if turned_at is not None and self.seconds() - turned_at > STOOD_STILL_SECONDS:
+        last_run_at = self._last_run_at
+        if last_run_at is not None and self.seconds() - last_run_at > STALL_SECONDS:
             self.doIteration(0)
         super().runUntilCurrent()
-        self._turned_at = self.seconds()
+        self._last_run_at = self.seconds()
 
     def seconds(self) -> float:  # type: ignore[override]
-        """Tell the present.
+        """Return the current time.
 
         Returns:
-            Seconds on a clock that never jumps; only differences have a meaning.
+            Seconds on a clock that never jumps; only differences are meaningful.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def install() -> Any:
-    """Make a steady reactor the process's reactor; nothing may have imported one before.
+    """Install a steady reactor as the process's reactor, before anything imports the default one.
 
     Returns:
         The reactor.
--- a/src/lineworks/kernel/task.py
+++ b/src/lineworks/kernel/task.py
@@ -14,26 +14,26 @@
 
 
 class Task:
-    """Runs one coroutine until it ends or is stopped; an error in it is logged."""
+    """Runs a coroutine until it returns or is stopped, and logs an exception that it raises."""
 
-    def __init__(self, name: str, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Make a task; nothing runs yet.
+    def __init__(self, name: str, make_coroutine: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Initialise without running the coroutine.
 
         Args:
-            name: Name for logs.
-            work: Makes the coroutine.
+            name: Name of the task for the logs.
+            make_coroutine: Called by `start` to create the coroutine.
         """
         self._name = name
-        self._work = work
+        self._make_coroutine = make_coroutine
         self._running: defer.Deferred[None] | None = None
 
     def start(self) -> None:
-        """Begin."""
-        self._running = defer.ensureDeferred(self._work())
+        """Start the coroutine."""
+        self._running = defer.ensureDeferred(self._make_coroutine())
         self._running.addErrback(self._on_error)
 
     def stop(self) -> None:
-        """End the coroutine where it waits."""
+        """Cancel the coroutine at its current await."""
         if self._running is not None:
             self._running.cancel()
 
@@ -43,15 +43,15 @@
 
 
 def sleep(clock: Any, seconds: float) -> defer.Deferred[None]:
-    """Wait.
+    """Wait for a duration.
 
     Args:
         clock: Twisted's reactor.
-        seconds: How long.
+        seconds: Duration in seconds.
 
     Returns:
-        A deferred that fires then; cancelling it ends the wait.
+        A deferred that fires after the duration; cancelling it cancels the timer.
     """
-    waiting: defer.Deferred[None] = defer.Deferred(lambda _: call.cancel())
-    call = clock.callLater(seconds, waiting.callback, None)
-    return waiting
+    elapsed: defer.Deferred[None] = defer.Deferred(lambda _: call.cancel())
+    call = clock.callLater(seconds, elapsed.callback, None)
+    return elapsed
--- a/src/lineworks/kernel/tcp_info.py
+++ b/src/lineworks/kernel/tcp_info.py
@@ -1,4 +1,4 @@
-"""What the operating system measured on a TCP connection."""
+"""TCP statistics that the operating system keeps for a connection."""
 
 from __future__ import annotations
 
@@ -7,49 +7,50 @@
 from typing import Any
 
 _INFO_BYTES = 104
-_LAST_RECEIVED = struct.Struct("=52xI")
-"""Where Linux keeps the milliseconds since data last came, in its `tcp_info`."""
+_LAST_DATA_RECEIVED = struct.Struct("=52xI")
+"""Location of `tcpi_last_data_recv` in Linux's `tcp_info`: milliseconds since data last arrived."""
 
 _RTT = struct.Struct("=68xI")
-"""Where it keeps the smoothed round trip, in microseconds."""
+"""Location of `tcpi_rtt` in `tcp_info`: the smoothed round-trip time in microseconds."""
 
-MOST_WAITED_SECONDS = 10.0
-"""Seconds above which a wait is not believed: no caller waits so long to be read."""
+MAX_READ_DELAY_SECONDS = 10.0
+"""Upper limit in seconds for a plausible read delay; a longer one is ignored, since no caller waits
+that long for its request to be read."""
 
 
 def round_trip(handle: Any) -> float | None:
-    """Tell the round trip of a connection, as it was measured in the handshake at first.
+    """Return the round-trip time of a connection; at first that of its handshake.
 
     Args:
-        handle: Its socket.
+        handle: The connection's socket.
 
     Returns:
-        Seconds, or None where the system does not tell.
+        Seconds, or None if the operating system does not provide it.
     """
     microseconds = _field(handle, _RTT)
     return microseconds / 1e6 if microseconds else None
 
 
-def waited(handle: Any) -> float:
-    """Tell how long the newest data of a connection has waited to be read.
+def read_delay(handle: Any) -> float:
+    """Return how long the newest data of a connection waited in the socket buffer before the read.
 
     Args:
-        handle: Its socket, just read.
+        handle: The connection's socket, which has just been read.
 
     Returns:
-        Seconds; 0 where the system does not tell.
+        Seconds; 0 if the operating system does not provide it.
     """
-    seconds = (_field(handle, _LAST_RECEIVED) or 0) / 1000
-    return seconds if seconds <= MOST_WAITED_SECONDS else 0.0
+    seconds = (_field(handle, _LAST_DATA_RECEIVED) or 0) / 1000
+    return seconds if seconds <= MAX_READ_DELAY_SECONDS else 0.0
 
 
 def _field(handle: Any, layout: struct.Struct) -> int | None:
     try:
-        found = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _INFO_BYTES)
+        info = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _INFO_BYTES)
     except OSError:
-        # Not every system has it, and a line for each connection would tell nothing new.
+        # Not all systems support TCP_INFO. A log line for each connection would add no information.
         return None
-    if len(found) < layout.size:
+    if len(info) < layout.size:
         return None
-    value: int = layout.unpack_from(found)[0]
+    value: int = layout.unpack_from(info)[0]
     return value
--- a/tests/test_early_callers.py
+++ b/tests/test_early_callers.py
@@ -30,7 +30,7 @@
     found = early_acceptor.EarlyAcceptor(
         listening.open_port("127.0.0.1", 0), headers.budget_of_head
     )
-    found.address = found._opened.getsockname()
+    found.address = found._listening_socket.getsockname()
     found.start()
     return found
 
