--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -1,4 +1,4 @@
-"""The client's end of HTTP/1.1 against servers that are faulty in every way."""
+"""The client side of an HTTP/1.1 connection, mostly against faulty servers."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
         self.aborted = True
 
 
-class Caller:
+class Client:
     def __init__(self, has_body=False):
         self.clock = task.Clock()
-        self.ends = []
+        self.outcomes = []
         self.closed = []
         self.connection = client_connection.ClientConnection(self.clock.seconds, self.closed.append)
         self.transport = Transport()
         self.connection.makeConnection(self.transport)
-        self.connection.send(b"request", has_body, self.ends.append, ID)
+        self.connection.send(b"request", has_body, self.outcomes.append, ID)
 
     def receive(self, *pieces):
         for piece in pieces:
@@ -43,103 +43,103 @@
         return self
 
     @property
-    def is_kept(self):
+    def is_reusable(self):
         return self.connection.is_reusable(self.clock.seconds()) and not self.transport.aborted
 
 
-def test_a_whole_answer_is_handed_over_and_the_connection_kept():
-    caller = Caller().receive(OK + b"Content-Length: 3\r\n\r\nab", b"c")
-    assert caller.ends[0].body == b"abc"
-    assert caller.is_kept
+def test_complete_response_is_delivered_and_connection_kept():
+    client = Client().receive(OK + b"Content-Length: 3\r\n\r\nab", b"c")
+    assert client.outcomes[0].body == b"abc"
+    assert client.is_reusable
 
 
-def test_chunks_are_joined():
-    caller = Caller().receive(
+def test_chunked_body_is_joined():
+    client = Client().receive(
         OK + b"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
     )
-    assert caller.ends[0].body == b"abc"
+    assert client.outcomes[0].body == b"abc"
 
 
-def test_an_answer_cut_short_is_none():
-    caller = Caller().receive(OK + b"Content-Length: 9\r\n\r\nab").end()
-    assert isinstance(caller.ends[0], client_connection.ConnectionFailure)
+def test_truncated_response_is_a_failure():
+    client = Client().receive(OK + b"Content-Length: 9\r\n\r\nab").end()
+    assert isinstance(client.outcomes[0], client_connection.ConnectionFailure)
 
 
-def test_an_answer_without_length_is_whole_only_on_a_clean_end():
-    clean = Caller().receive(OK + b"\r\nabc").end()
-    assert clean.ends[0].body == b"abc"
-    reset = Caller().receive(OK + b"\r\nabc").end(error.ConnectionLost)
-    assert isinstance(reset.ends[0], client_connection.ConnectionFailure)
+def test_response_without_length_is_complete_only_after_a_clean_close():
+    clean = Client().receive(OK + b"\r\nabc").end()
+    assert clean.outcomes[0].body == b"abc"
+    reset = Client().receive(OK + b"\r\nabc").end(error.ConnectionLost)
+    assert isinstance(reset.outcomes[0], client_connection.ConnectionFailure)
 
 
-def test_bytes_that_are_no_answer_end_the_connection():
-    caller = Caller().receive(b"\x00\x01rubbish\r\n\r\n")
-    assert isinstance(caller.ends[0], client_connection.ConnectionFailure)
-    assert caller.transport.aborted
+def test_invalid_response_aborts_the_connection():
+    client = Client().receive(b"\x00\x01rubbish\r\n\r\n")
+    assert isinstance(client.outcomes[0], client_connection.ConnectionFailure)
+    assert client.transport.aborted
 
 
-def test_a_second_answer_in_the_same_packet_changes_nothing_of_the_first():
+def test_second_response_in_the_same_packet_does_not_alter_the_first():
     second = b"HTTP/1.1 200 OK\r\nX-Stamp: wrong\r\nContent-Length: 5\r\n\r\nwrong"
-    caller = Caller().receive(OK + b"X-Stamp: s\r\nContent-Length: 2\r\n\r\nok" + second)
-    assert caller.ends[0].body == b"ok"
-    assert caller.ends[0].headers[b"x-stamp"] == b"s"
-    assert not caller.is_kept
+    client = Client().receive(OK + b"X-Stamp: s\r\nContent-Length: 2\r\n\r\nok" + second)
+    assert client.outcomes[0].body == b"ok"
+    assert client.outcomes[0].headers[b"x-stamp"] == b"s"
+    assert not client.is_reusable
 
 
-def test_a_late_answer_while_idle_closes_the_connection():
-    caller = Caller().receive(OK + b"Content-Length: 2\r\n\r\nok")
-    caller.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    assert len(caller.ends) == 1
-    assert caller.transport.aborted
+def test_unsolicited_response_on_an_idle_connection_aborts_it():
+    client = Client().receive(OK + b"Content-Length: 2\r\n\r\nok")
+    client.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+    assert len(client.outcomes) == 1
+    assert client.transport.aborted
 
 
 @pytest.mark.parametrize("identity", [b"X-Attempt-Id: other\r\n", b""])
-def test_an_answer_to_another_request_is_skipped(identity):
+def test_response_to_another_request_is_discarded(identity):
     foreign = b"HTTP/1.1 200 OK\r\n" + identity + b"Content-Length: 5\r\n\r\nother"
-    caller = Caller().receive(foreign)
-    assert caller.ends == []
-    caller.receive(OK + b"Content-Length: 4\r\n\r\nmine")
-    assert caller.ends[0].body == b"mine"
-    assert not caller.is_kept
+    client = Client().receive(foreign)
+    assert client.outcomes == []
+    client.receive(OK + b"Content-Length: 4\r\n\r\nmine")
+    assert client.outcomes[0].body == b"mine"
+    assert not client.is_reusable
 
 
-def test_a_refusal_of_the_request_need_not_name_it():
-    caller = Caller().receive(b"HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
-    assert caller.ends[0].status == 421
+def test_4xx_response_may_omit_the_expected_field():
+    client = Client().receive(b"HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
+    assert client.outcomes[0].status == 421
 
 
-def test_a_failure_before_the_body_was_read_ends_the_connection():
-    caller = Caller(has_body=True)
-    caller.receive(b"HTTP/1.1 503 X\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n")
-    assert caller.ends[0].status == 503
-    assert not caller.is_kept
+def test_error_response_to_a_request_with_body_prevents_reuse():
+    client = Client(has_body=True)
+    client.receive(b"HTTP/1.1 503 X\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n")
+    assert client.outcomes[0].status == 503
+    assert not client.is_reusable
 
 
-def test_informational_answers_are_passed_over():
-    caller = Caller().receive(b"HTTP/1.1 100 Continue\r\n\r\n" + OK + b"Content-Length: 1\r\n\r\nx")
-    assert caller.ends[0].body == b"x"
+def test_informational_responses_are_skipped():
+    client = Client().receive(b"HTTP/1.1 100 Continue\r\n\r\n" + OK + b"Content-Length: 1\r\n\r\nx")
+    assert client.outcomes[0].body == b"x"
 
 
-def test_connection_close_is_obeyed():
-    caller = Caller().receive(OK + b"Connection: close\r\nContent-Length: 1\r\n\r\nx")
-    assert caller.ends[0].body == b"x"
-    assert not caller.is_kept
+def test_connection_close_prevents_reuse():
+    client = Client().receive(OK + b"Connection: close\r\nContent-Length: 1\r\n\r\nx")
+    assert client.outcomes[0].body == b"x"
+    assert not client.is_reusable
 
 
-def test_a_connection_is_reused_only_while_the_server_surely_waits():
-    caller = Caller().receive(OK + b"Keep-Alive: timeout=5\r\nContent-Length: 1\r\n\r\nx")
-    caller.clock.advance(1.9)
-    assert caller.connection.is_reusable(caller.clock.seconds(), 0.5)
-    caller.clock.advance(0.2)
-    assert not caller.connection.is_reusable(caller.clock.seconds(), 0.5)
-    assert caller.is_kept
-    caller.clock.advance(2.0)
-    assert not caller.is_kept
+def test_connection_is_reusable_only_within_the_keep_alive_timeout():
+    client = Client().receive(OK + b"Keep-Alive: timeout=5\r\nContent-Length: 1\r\n\r\nx")
+    client.clock.advance(1.9)
+    assert client.connection.is_reusable(client.clock.seconds(), 0.5)
+    client.clock.advance(0.2)
+    assert not client.connection.is_reusable(client.clock.seconds(), 0.5)
+    assert client.is_reusable
+    client.clock.advance(2.0)
+    assert not client.is_reusable
 
 
-def test_an_aborted_request_reports_nothing():
-    caller = Caller()
-    caller.connection.abort()
-    caller.end(error.ConnectionLost)
-    assert caller.ends == []
-    assert caller.closed
+def test_aborted_request_reports_no_outcome():
+    client = Client()
+    client.connection.abort()
+    client.end(error.ConnectionLost)
+    assert client.outcomes == []
+    assert client.closed
--- a/tests/test_early_callers.py
+++ b/tests/test_early_callers.py
@@ -1,4 +1,4 @@
-"""Callers who connect before the event loop runs, on real sockets."""
+"""Connections accepted before the event loop runs, on real sockets."""
 
 from __future__ import annotations
 
@@ -26,66 +26,66 @@
 
 
 @pytest.fixture
-def early():
-    found = early_acceptor.EarlyAcceptor(
+def acceptor():
+    created = early_acceptor.EarlyAcceptor(
         listening.open_port("127.0.0.1", 0), headers.budget_of_head
     )
-    found.address = found._listening_socket.getsockname()
-    found.start()
-    return found
+    created.address = created._listening_socket.getsockname()
+    created.start()
+    return created
 
 
-def connect(early):
-    return socket.create_connection(early.address, timeout=TIMEOUT)
+def connect(acceptor):
+    return socket.create_connection(acceptor.address, timeout=TIMEOUT)
 
 
-def adopt(early):
+def adopt(acceptor):
     reactor = selectreactor.SelectReactor()
-    early.adopt(reactor, protocol.Factory.forProtocol(Echo))
+    acceptor.adopt(reactor, protocol.Factory.forProtocol(Echo))
     for _ in range(20):
         reactor.runUntilCurrent()
         reactor.doIteration(0.01)
 
 
-def test_a_caller_whose_time_runs_out_is_refused_within_it(early):
-    with connect(early) as caller:
+def test_caller_is_refused_before_its_budget_runs_out(acceptor):
+    with connect(acceptor) as caller:
         sent_at = time.monotonic()
         caller.sendall(request(0.3))
         assert caller.recv(4096).startswith(b"HTTP/1.1 503")
         assert 0.2 < time.monotonic() - sent_at < 0.3
         assert caller.recv(4096) == b""
-    adopt(early)
-    assert early.errors == []
+    adopt(acceptor)
+    assert acceptor.errors == []
 
 
-def test_a_caller_with_time_is_served_by_the_reactor_with_all_that_it_sent(early):
-    with connect(early) as first, connect(early) as silent, connect(early) as half:
+def test_connections_within_budget_are_handed_to_the_reactor_with_their_data(acceptor):
+    with connect(acceptor) as first, connect(acceptor) as silent, connect(acceptor) as partial:
         first.sendall(request(10.0))
-        half.sendall(request(10.0)[:20])
+        partial.sendall(request(10.0)[:20])
         time.sleep(0.1)
-        adopt(early)
+        adopt(acceptor)
         assert first.recv(4096) == b"served " + request(10.0)
-        assert half.recv(4096) == b"served " + request(10.0)[:20]
+        assert partial.recv(4096) == b"served " + request(10.0)[:20]
         silent.settimeout(0.05)
         with pytest.raises(TimeoutError):
             silent.recv(10)
 
 
-def test_a_caller_that_left_does_no_harm(early):
-    connect(early).close()
-    with connect(early) as reset:
+def test_disconnected_callers_cause_no_error(acceptor):
+    connect(acceptor).close()
+    with connect(acceptor) as reset:
         reset.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         reset.sendall(b"GET")
     time.sleep(0.05)
-    adopt(early)
-    assert early.errors == []
+    adopt(acceptor)
+    assert acceptor.errors == []
 
 
-def test_a_caller_that_tells_no_time_waits_for_the_reactor(early):
-    with connect(early) as caller:
+def test_caller_without_a_budget_waits_for_the_reactor(acceptor):
+    with connect(acceptor) as caller:
         caller.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         time.sleep(0.1)
-        adopt(early)
+        adopt(acceptor)
         assert caller.recv(4096).startswith(b"served")
 
 
@@ -100,5 +100,5 @@
         (b"", None),
     ],
 )
-def test_the_time_that_a_caller_has_is_read_from_its_head_only(head, seconds):
+def test_budget_is_read_from_the_head_only(head, seconds):
     assert headers.budget_of_head(head) == seconds
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -1,4 +1,4 @@
-"""The micro-kernel and the life of an instance."""
+"""The service registry, mailboxes, tasks and the lifecycle of an instance."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def run(coroutine):
-    found = []
-    defer.ensureDeferred(coroutine).addBoth(found.append)
-    return found[0]
+    results = []
+    defer.ensureDeferred(coroutine).addBoth(results.append)
+    return results[0]
 
 
-def test_services_start_in_order_and_stop_in_reverse():
+def test_services_start_in_order_and_stop_in_reverse_order():
     log, kernel = [], registry.Kernel()
     for name in ("a", "b"):
         kernel.register(name, _Service(log, name))
@@ -37,7 +37,7 @@
     assert log == ["start a", "start b", "stop b", "stop a"]
 
 
-def test_a_failed_start_stops_what_was_started():
+def test_failed_start_stops_the_started_services():
     log, kernel = [], registry.Kernel()
     kernel.register("a", _Service(log, "a"))
     kernel.register("b", _Service(log, "b", is_broken=True))
@@ -45,7 +45,7 @@
     assert log == ["start a", "stop a"]
 
 
-def test_names_are_unique_and_known():
+def test_duplicate_and_unknown_names_are_rejected():
     kernel = registry.Kernel()
     kernel.register("a", _Service([], "a"))
     assert kernel.get("a", _Service).name == "a"
@@ -55,7 +55,7 @@
         kernel.get("b", _Service)
 
 
-def test_a_mailbox_never_handles_one_message_inside_another():
+def test_mailbox_handler_is_not_reentered():
     seen = []
 
     def handle(message):
@@ -69,7 +69,7 @@
     assert seen == [("begin", 1), ("end", 1), ("begin", 2), ("end", 2)]
 
 
-def test_a_stopped_task_ends_where_it_waits():
+def test_stopped_task_is_cancelled_at_its_await():
     waiting, log = defer.Deferred(), []
 
     async def work():
@@ -84,7 +84,7 @@
     assert log == ["ended"]
 
 
-def test_a_life_without_surprises():
+def test_lifecycle_passes_through_all_states():
     log = []
     life = lifecycle.Lifecycle(lambda: log.append("draining"), lambda: log.append("stopped"))
     assert life.state == "starting"
@@ -104,7 +104,7 @@
     assert log == ["draining", "stopped"]
 
 
-def test_a_life_may_end_before_it_was_ready():
+def test_lifecycle_may_stop_before_it_is_ready():
     log = []
     life = lifecycle.Lifecycle(lambda: log.append("draining"), lambda: log.append("stopped"))
     life.stop_asked()
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -1,4 +1,4 @@
-"""The callers' port, on real sockets."""
+"""Closing a listening port, on real sockets."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
         self.transport.loseConnection()
 
 
-def test_what_waits_on_a_port_that_is_closed_is_still_served_and_later_callers_are_refused():
+def test_waiting_connections_are_served_and_later_ones_refused_when_a_port_closes():
     reactor = selectreactor.SelectReactor()
-    opened = listening.open_port("127.0.0.1", 0)
-    address = opened.getsockname()
-    port = listening.adopt(reactor, opened, protocol.Factory.forProtocol(Greeter))
+    listening_socket = listening.open_port("127.0.0.1", 0)
+    address = listening_socket.getsockname()
+    port = listening.adopt(reactor, listening_socket, protocol.Factory.forProtocol(Greeter))
     waiting = [socket.create_connection(address, timeout=5) for _ in range(30)]
     listening.close(port)
     for _ in range(10):
@@ -27,18 +27,18 @@
         reactor.doIteration(0.01)
     with socket.socket() as late:
         assert late.connect_ex(address) != 0
-    assert {one.recv(100) for one in waiting} == {b"served"}
-    for one in waiting:
-        one.close()
+    assert {connection.recv(100) for connection in waiting} == {b"served"}
+    for connection in waiting:
+        connection.close()
 
 
-def test_nobody_connects_between_the_last_look_and_the_close_of_a_port():
-    # Found by the soak, seed 8 of 20 s: the first connection of a caller was reset 0.03 s after its
-    # dial, 0.02 s before `stopped`. The port took connections until the next turn of the loop.
+def test_port_refuses_connections_immediately_after_close():
+    # The port once accepted connections until the next reactor iteration. A caller that connected
+    # in between was reset 0.03 s later, 0.02 s before the process logged `stopped`.
     reactor = selectreactor.SelectReactor()
-    opened = listening.open_port("127.0.0.1", 0)
-    address = opened.getsockname()
-    port = listening.adopt(reactor, opened, protocol.Factory.forProtocol(Greeter))
+    listening_socket = listening.open_port("127.0.0.1", 0)
+    address = listening_socket.getsockname()
+    port = listening.adopt(reactor, listening_socket, protocol.Factory.forProtocol(Greeter))
     listening.close(port)
     with socket.socket() as late:
         assert late.connect_ex(address) != 0
--- a/tests/test_loop_delay.py
+++ b/tests/test_loop_delay.py
@@ -1,4 +1,4 @@
-"""How late the event loop runs its timers."""
+"""Measurement of the event loop's timer delay."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from lineworks.kernel import loop_delay
 
 
-def test_a_late_look_is_measured_and_fades():
+def test_late_timer_is_measured_and_the_peak_decays():
     clock = task.Clock()
     delay = loop_delay.LoopDelay(clock)
     delay.start()
--- a/tests/test_prompt_write.py
+++ b/tests/test_prompt_write.py
@@ -1,4 +1,4 @@
-"""Writes that do not wait for the reactor, on real sockets without a turn of one."""
+"""Writes that do not wait for the reactor, on real sockets without running a reactor."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _Reactor:
-    """Notes who waits to write; makes no turn."""
+    """Records the registered writers; never runs."""
 
     def __init__(self):
         self.writers = set()
@@ -38,25 +38,25 @@
         return 0.0
 
 
-class _Ends:
-    """A connection with its transport at one end and a plain socket at the other."""
+class _Pair:
+    """A connected socket pair: a transport with its protocol, and a plain peer socket."""
 
-    def __init__(self, end):
+    def __init__(self, protocol_instance):
         self.reactor = _Reactor()
-        near, self.far = socket.socketpair()
-        for one in (near, self.far):
-            one.setblocking(False)
-        self.transport = _Connection(near, end, self.reactor)
+        near, self.peer = socket.socketpair()
+        for end in (near, self.peer):
+            end.setblocking(False)
+        self.transport = _Connection(near, protocol_instance, self.reactor)
         self.transport.connected = True
 
     def read(self):
         try:
-            return self.far.recv(1 << 20)
+            return self.peer.recv(1 << 20)
         except BlockingIOError:
             return b""
 
     def close(self):
-        self.far.close()
+        self.peer.close()
         self.transport.socket.close()
 
 
@@ -66,80 +66,80 @@
 
 
 @pytest.fixture
-def ends():
+def make_pair():
     opened = []
 
-    def make(end=None):
-        opened.append(_Ends(end or protocol.Protocol()))
+    def make(protocol_instance=None):
+        opened.append(_Pair(protocol_instance or protocol.Protocol()))
         return opened[-1]
 
     yield make
-    for one in opened:
-        one.close()
+    for pair in opened:
+        pair.close()
 
 
-def test_what_the_system_takes_leaves_at_once(ends):
-    found = ends()
-    immediate_write.write(found.transport, b"one")
-    immediate_write.write(found.transport, b"two")
-    assert found.read() == b"onetwo"
-    assert not found.reactor.writers
+def test_data_that_fits_the_socket_buffer_is_sent_immediately(make_pair):
+    pair = make_pair()
+    immediate_write.write(pair.transport, b"one")
+    immediate_write.write(pair.transport, b"two")
+    assert pair.read() == b"onetwo"
+    assert not pair.reactor.writers
 
 
-def test_what_the_system_does_not_take_leaves_in_order_later(ends):
-    found = ends()
+def test_data_beyond_the_socket_buffer_is_sent_later_in_order(make_pair):
+    pair = make_pair()
     large = b"x" * (8 << 20)
-    immediate_write.write(found.transport, large)
-    immediate_write.write(found.transport, b"end")
-    assert found.transport in found.reactor.writers
+    immediate_write.write(pair.transport, large)
+    immediate_write.write(pair.transport, b"end")
+    assert pair.transport in pair.reactor.writers
     read = b""
-    while found.reactor.writers:
-        read += found.read()
-        found.transport.doWrite()
-    read += found.read()
+    while pair.reactor.writers:
+        read += pair.read()
+        pair.transport.doWrite()
+    read += pair.read()
     assert read == large + b"end"
 
 
-def test_a_connection_that_its_peer_reset_is_left_to_the_reactor(ends):
-    found = ends()
-    found.far.close()
-    immediate_write.write(found.transport, b"late")
-    assert found.transport in found.reactor.writers
+def test_connection_reset_by_the_peer_is_left_to_the_reactor(make_pair):
+    pair = make_pair()
+    pair.peer.close()
+    immediate_write.write(pair.transport, b"late")
+    assert pair.transport in pair.reactor.writers
 
 
-def test_a_lost_connection_takes_nothing(ends):
-    found = ends()
-    found.transport.connected = False
-    immediate_write.write(found.transport, b"late")
-    assert found.read() == b""
+def test_nothing_is_written_to_a_lost_connection(make_pair):
+    pair = make_pair()
+    pair.transport.connected = False
+    immediate_write.write(pair.transport, b"late")
+    assert pair.read() == b""
 
 
-def test_a_request_to_a_target_leaves_at_once(ends):
+def test_request_to_a_target_is_sent_immediately(make_pair):
     connection = client_connection.ClientConnection(lambda: 0.0, lambda closed: None)
-    found = ends(connection)
-    connection.makeConnection(found.transport)
+    pair = make_pair(connection)
+    connection.makeConnection(pair.transport)
     connection.send(b"GET / HTTP/1.1\r\n\r\n", False, lambda end: None)
-    assert found.read() == b"GET / HTTP/1.1\r\n\r\n"
+    assert pair.read() == b"GET / HTTP/1.1\r\n\r\n"
 
 
-def test_an_answer_to_a_caller_leaves_at_once(ends):
+def test_response_to_a_caller_is_sent_immediately(make_pair):
     server = server_connection.Server(
         _Reactor(),
         server_connection.Limits,
         lambda request, answer: answer(server_connection.Answer(200)),
     )
     connection = server.buildProtocol(None)
-    found = ends(connection)
-    connection.makeConnection(found.transport)
+    pair = make_pair(connection)
+    connection.makeConnection(pair.transport)
     connection.dataReceived(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-    assert found.read().startswith(b"HTTP/1.1 200 ")
+    assert pair.read().startswith(b"HTTP/1.1 200 ")
 
 
-def test_a_message_to_another_instance_leaves_at_once(ends):
+def test_message_to_another_instance_is_sent_immediately(make_pair):
     links = peer_links.PeerLinks(_Reactor(), "a", "h", "inc", b"s")
     link = peer_link.PeerLink(links)
-    found = ends(link)
-    link.makeConnection(found.transport)
-    found.read()
+    pair = make_pair(link)
+    link.makeConnection(pair.transport)
+    pair.read()
     link.send(node_frames.GatherCancel(1, ()))
-    assert found.read()
+    assert pair.read()
--- a/tests/test_server_connection.py
+++ b/tests/test_server_connection.py
@@ -1,4 +1,4 @@
-"""The server's end of HTTP/1.1: framing, limits, order and cancelling."""
+"""The server side of an HTTP/1.1 connection: framing, limits, ordering and cancellation."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Socket:
-    """Tells a round trip as Linux does, or that the system has none to tell."""
+    """Returns a round-trip time as Linux does, or fails like a system without TCP_INFO."""
 
     def __init__(self, microseconds=None):
         self.microseconds = microseconds
@@ -51,7 +51,7 @@
         self.server = server_connection.Server(
             self.clock,
             lambda: LIMITS,
-            self.take,
+            self.handle,
             lambda: is_closing,
             self.refused.append,
             lambda request: self.undelivered.append(request),
@@ -60,7 +60,7 @@
         self.transport = Transport(round_trip)
         self.connection.makeConnection(self.transport)
 
-    def take(self, request, answer):
+    def handle(self, request, answer):
         self.requests.append(request)
         self.answers.append(answer)
         return lambda: self.cancelled.append(request)
@@ -70,32 +70,32 @@
         return self
 
     @property
-    def seen(self):
+    def sent(self):
         return self.transport.value()
 
     @property
     def statuses(self):
-        return [int(part.split(b" ")[0]) for part in self.seen.split(b"HTTP/1.1 ")[1:]]
+        return [int(part.split(b" ")[0]) for part in self.sent.split(b"HTTP/1.1 ")[1:]]
 
 
-def test_a_request_is_taken_byte_for_byte():
+def test_request_and_response_are_passed_byte_for_byte():
     caller = Caller().send(b"POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nab")
     assert caller.requests == []
     caller.send(b"c")
     request = caller.requests[0]
     assert (request.method, request.target, request.body) == (b"POST", b"/a?b=c", b"abc")
     caller.answers[0](server_connection.Answer(200, [(b"X-A", b"1")], b"xy"))
-    assert caller.seen == b"HTTP/1.1 200 OK\r\nX-A: 1\r\nContent-Length: 2\r\n\r\nxy"
+    assert caller.sent == b"HTTP/1.1 200 OK\r\nX-A: 1\r\nContent-Length: 2\r\n\r\nxy"
 
 
-def test_chunked_bodies_are_joined():
+def test_chunked_body_is_joined():
     caller = Caller().send(
         b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"
     )
     assert caller.requests[0].body == b"ab"
 
 
-def test_requests_sent_ahead_are_answered_in_order():
+def test_pipelined_requests_are_processed_in_order():
     caller = Caller().send(b"GET /1 HTTP/1.1\r\nHost: x\r\n\r\nGET /2 HTTP/1.1\r\nHost: x\r\n\r\n")
     assert [request.target for request in caller.requests] == [b"/1"]
     caller.answers[0](server_connection.Answer(200, [], b"one"))
@@ -113,7 +113,7 @@
         b"Bad Name: 1\r\n",
     ],
 )
-def test_ambiguous_framing_is_refused_and_nothing_is_handed_on(head):
+def test_invalid_or_ambiguous_framing_is_refused_before_the_handler(head):
     caller = Caller().send(b"POST / HTTP/1.1\r\nHost: x\r\n" + head + b"\r\nabcd")
     assert caller.requests == []
     assert caller.statuses == [400]
@@ -121,13 +121,13 @@
     assert caller.transport.disconnecting
 
 
-def test_a_head_that_is_too_long_is_refused():
+def test_oversized_head_is_refused():
     caller = Caller().send(b"GET / HTTP/1.1\r\nHost: x\r\nX: " + b"a" * 400 + b"\r\n\r\n")
     assert caller.requests == []
     assert caller.statuses == [431]
 
 
-def test_a_body_that_is_too_long_is_refused():
+def test_oversized_body_is_refused():
     caller = Caller().send(
         b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 200\r\n\r\n" + b"a" * 200
     )
@@ -135,7 +135,7 @@
     assert caller.statuses == [413]
 
 
-def test_a_slow_head_is_refused_and_a_slow_start_is_not():
+def test_slow_head_is_refused_but_a_late_first_byte_is_not():
     caller = Caller()
     caller.clock.advance(10)
     caller.send(b"GET / HT")
@@ -145,7 +145,7 @@
     assert caller.statuses == [408]
 
 
-def test_an_idle_connection_is_closed_after_its_time():
+def test_idle_connection_is_closed_after_the_idle_limit():
     caller = Caller().send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     caller.answers[0](server_connection.Answer(200))
     caller.clock.advance(14.9)
@@ -154,36 +154,36 @@
     assert caller.transport.disconnecting
 
 
-def test_a_caller_that_leaves_cancels_its_request():
+def test_lost_connection_cancels_its_request():
     caller = Caller().send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     caller.connection.connectionLost(failure.Failure(error.ConnectionLost()))
     assert caller.cancelled == caller.requests
     caller.answers[0](server_connection.Answer(200))
-    assert caller.seen == b""
+    assert caller.sent == b""
 
 
-def test_a_closing_server_says_so_and_closes():
+def test_closing_server_sends_connection_close_and_closes():
     caller = Caller(is_closing=True).send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     caller.answers[0](server_connection.Answer(200))
-    assert b"Connection: close" in caller.seen
+    assert b"Connection: close" in caller.sent
     assert caller.transport.disconnecting
 
 
 @pytest.mark.parametrize(("end", "count"), [(error.ConnectionDone, 0), (error.ConnectionLost, 1)])
-def test_an_answer_that_did_not_leave_is_told_of(end, count):
+def test_undelivered_last_response_is_reported(end, count):
     caller = Caller(is_closing=True).send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     caller.answers[0](server_connection.Answer(200))
     caller.connection.connectionLost(failure.Failure(end()))
     assert len(caller.undelivered) == count
 
 
-def test_connection_close_of_the_caller_is_obeyed():
+def test_connection_close_from_the_caller_closes_after_the_response():
     caller = Caller().send(b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
     caller.answers[0](server_connection.Answer(200))
     assert caller.transport.disconnecting
 
 
-def test_only_connections_at_rest_are_closed():
+def test_only_idle_connections_are_closed():
     caller = Caller().send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     caller.connection.close_if_idle()
     assert not caller.transport.disconnecting
@@ -192,7 +192,7 @@
     assert caller.transport.disconnecting
 
 
-def test_a_connection_is_not_at_rest_just_after_its_opening_or_its_last_answer():
+def test_connection_stays_open_during_the_grace_period_after_opening_or_last_response():
     caller = Caller()
     caller.clock.advance(1.0)
     caller.connection.close_if_idle(1.2)
@@ -207,22 +207,22 @@
     assert caller.transport.disconnecting
 
 
-def test_an_answer_counts_once():
+def test_only_the_first_response_to_a_request_is_sent():
     caller = Caller().send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     caller.answers[0](server_connection.Answer(200, [], b"a"))
     caller.answers[0](server_connection.Answer(200, [], b"b"))
-    assert caller.seen.endswith(b"\r\n\r\na")
+    assert caller.sent.endswith(b"\r\n\r\na")
 
 
-def test_the_way_of_a_caller_counts_twice_for_a_new_connection():
+def test_network_delay_counts_two_round_trips_for_a_new_connection():
     caller = Caller(round_trip=6000)
     request = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
     caller.send(request)
     caller.answers[0](server_connection.Answer(200))
     caller.send(request)
-    assert [found.network_delay for found in caller.requests] == [0.012, 0.006]
+    assert [received.network_delay for received in caller.requests] == [0.012, 0.006]
 
 
-def test_the_way_of_a_caller_is_unknown_where_the_system_does_not_tell():
+def test_network_delay_is_unknown_without_tcp_info():
     caller = Caller().send(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
     assert caller.requests[0].network_delay is None
