--- a/bench/platform_slopes.py
+++ b/bench/platform_slopes.py
@@ -166,7 +166,7 @@
     rounds = []
     for _ in range(ROUNDS):
         deflater = deflate.Deflater()
-        inflater = deflate.Inflater(codec.MAX_FRAME)
+        inflater = deflate.Inflater(codec.MAX_FRAME_BYTES)
         size = 0
         began = time.perf_counter()
         for frame in sent:
--- a/src/lineworks/services/peer_link.py
+++ b/src/lineworks/services/peer_link.py
@@ -70,7 +70,7 @@
 class PeerLink(basic.Int32StringReceiver):
     """One end of a link."""
 
-    MAX_LENGTH = codec.MAX_FRAME
+    MAX_LENGTH = codec.MAX_FRAME_BYTES
     transport: Any
 
     def __init__(self, owner: LinkOwner, is_dialler: bool = False) -> None:
@@ -83,8 +83,10 @@
         self._owner = owner
         self.is_dialler = is_dialler
         self._nonce = os.urandom(_NONCE_BYTES)
-        self._deflater = deflate.Deflater(deflate.LEVEL if owner.compresses else deflate.STORED)
-        self._inflater = deflate.Inflater(codec.MAX_FRAME)
+        self._deflater = deflate.Deflater(
+            deflate.COMPRESSION_LEVEL if owner.compresses else deflate.NO_COMPRESSION
+        )
+        self._inflater = deflate.Inflater(codec.MAX_FRAME_BYTES)
         self._is_dead = False
         self._beat_data = b""
         self._beat: frames.Frame | None = None
--- a/src/lineworks/wire/__init__.py
+++ b/src/lineworks/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Schema and codec of the peer link."""
+"""Schema, codec and compression of the peer link between instances."""
--- a/src/lineworks/wire/_base.py
+++ b/src/lineworks/wire/_base.py
@@ -1,26 +1,26 @@
-"""What the codecs of all frames share."""
+"""Definitions shared by the codecs of all frames."""
 
 from __future__ import annotations
 
-MICROSECONDS = 1_000_000
-"""Microseconds in a second."""
+MICROSECONDS_PER_SECOND = 1_000_000
+"""Number of microseconds in a second."""
 
-MAX_REMAINING = 2**32 - 1
-"""Longest time, in microseconds, that a frame can carry: over an hour."""
+MAX_MICROSECONDS = 2**32 - 1
+"""Longest duration that a 32-bit field can carry, in microseconds: more than an hour."""
 
 
 class MalformedFrameError(Exception):
-    """The bytes are not a frame of the peer link."""
+    """The data is not a valid frame of the peer link."""
 
 
-def remaining(deadline: float, now: float) -> int:
-    """Turn a time into the time that is left, as it travels.
+def remaining_microseconds(deadline: float, now: float) -> int:
+    """Convert a deadline to the remaining time, since the clocks of two instances differ.
 
     Args:
-        deadline: The time, in seconds on the sender's clock.
-        now: The present on that clock.
+        deadline: Deadline in seconds on the sender's clock.
+        now: Current time on the same clock.
 
     Returns:
-        Microseconds, never negative.
+        Microseconds, limited to the range of a 32-bit field.
     """
-    return min(MAX_REMAINING, max(0, int((deadline - now) * MICROSECONDS)))
+    return min(MAX_MICROSECONDS, max(0, int((deadline - now) * MICROSECONDS_PER_SECOND)))
--- a/src/lineworks/wire/_gather_codec.py
+++ b/src/lineworks/wire/_gather_codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the frames between fronts and gatherers of forwarded requests."""
+"""Encodes and decodes the frames of gather queries, target changes and configurations."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
     body.attempt = frame.attempt
     body.top = frame.top
     body.floor = frame.floor
-    body.remaining = _base.remaining(frame.deadline, now)
-    body.flushIn = _base.remaining(frame.flush_at, now)
+    body.remaining = _base.remaining_microseconds(frame.deadline, now)
+    body.flushIn = _base.remaining_microseconds(frame.flush_at, now)
     body.isFair = frame.is_fair
     body.workspace = frame.workspace
     body.hasQuota = frame.has_quota
     body.priority = frame.priority
-    body.dueIn = _base.remaining(frame.due, now)
+    body.dueIn = _base.remaining_microseconds(frame.due, now)
 
 
 def _read_query(body: Any, now: float) -> node_frames.GatherQuery:
     services = tuple(body.services)
     if not services:
-        raise _base.MalformedFrameError("a query without shards")
+        raise _base.MalformedFrameError("query without shards")
     return node_frames.GatherQuery(
         number=body.number,
         services=services,
@@ -43,13 +43,13 @@
         attempt=bytes(body.attempt),
         top=body.top,
         floor=bytes(body.floor),
-        deadline=now + body.remaining / _base.MICROSECONDS,
-        flush_at=now + body.flushIn / _base.MICROSECONDS,
+        deadline=now + body.remaining / _base.MICROSECONDS_PER_SECOND,
+        flush_at=now + body.flushIn / _base.MICROSECONDS_PER_SECOND,
         is_fair=body.isFair,
         workspace=body.workspace,
         has_quota=body.hasQuota,
         priority=body.priority,
-        due=now + body.dueIn / _base.MICROSECONDS,
+        due=now + body.dueIn / _base.MICROSECONDS_PER_SECOND,
     )
 
 
@@ -104,7 +104,7 @@
     body.fromEra = frame.after.era
     body.toRevision = frame.position.revision
     body.toEra = frame.position.era
-    body.age = min(_base.MAX_REMAINING, int(frame.age * _base.MICROSECONDS))
+    body.age = min(_base.MAX_MICROSECONDS, int(frame.age * _base.MICROSECONDS_PER_SECOND))
     body.document = frame.document
     body.unsettled = frame.unsettled
     rows = body.init("evacuations", len(frame.evacuations))
@@ -116,7 +116,7 @@
 
 
 def _read_targets(body: Any, now: float) -> node_frames.TargetUpdate:
-    age = body.age / _base.MICROSECONDS
+    age = body.age / _base.MICROSECONDS_PER_SECOND
     changes = tuple(
         evacuations.EvacuationChange(
             row.hall, positions.Position(row.era, row.revision), row.isAsked
@@ -157,7 +157,7 @@
     node_frames.TableUpdate: _write_table,
     node_frames.TablePull: _write_pull,
 }
-"""Writers by message class: (builder of a frame, message, present)."""
+"""Encoders by message class; each takes the frame's builder, the message and the current time."""
 
 DECODERS: dict[str, Callable[[Any, float], Any]] = {
     "gatherQuery": _read_query,
@@ -167,4 +167,4 @@
     "tableUpdate": _read_table,
     "tablePull": _read_pull,
 }
-"""Readers by the frame's kind: (body, present)."""
+"""Decoders by kind of frame; each takes the frame's body and the current time."""
--- a/src/lineworks/wire/_quota_codec.py
+++ b/src/lineworks/wire/_quota_codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the frames by which instances hold quotas together."""
+"""Encodes and decodes the frames by which instances share the quotas of workspaces."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_MILLIONTHS = 1_000_000
-"""Units on the wire in one token."""
+_MILLIONTHS_PER_UNIT = 1_000_000
+"""Number of wire units per token."""
 
-_MOST_MILLIONTHS = 2**32 - 1
-"""Greatest amount that the wire holds, in these units."""
+_MAX_MILLIONTHS = 2**32 - 1
+"""Largest amount that the 32-bit field can carry, in wire units."""
 
 
 def _write_ask(builder: Any, frame: node_frames.QuotaAsk, now: float) -> None:
@@ -32,12 +32,16 @@
     body = builder.init("quotaGrant")
     body.number = frame.number
     body.decision = int(frame.decision)
-    body.retryAfter = min(_base.MAX_REMAINING, int(frame.retry_after * _base.MICROSECONDS))
+    body.retryAfter = min(
+        _base.MAX_MICROSECONDS, int(frame.retry_after * _base.MICROSECONDS_PER_SECOND)
+    )
 
 
 def _read_grant(body: Any, now: float) -> node_frames.QuotaGrant:
     decision = quota.Decision(body.decision)
-    return node_frames.QuotaGrant(body.number, decision, body.retryAfter / _base.MICROSECONDS)
+    return node_frames.QuotaGrant(
+        body.number, decision, body.retryAfter / _base.MICROSECONDS_PER_SECOND
+    )
 
 
 def _write_return(builder: Any, frame: node_frames.QuotaReturn, now: float) -> None:
@@ -56,7 +60,7 @@
 
 
 def _read_pull(body: Any, now: float) -> node_frames.QuotaPull:
-    return node_frames.QuotaPull(body.number, body.workspace, body.amount / _MILLIONTHS)
+    return node_frames.QuotaPull(body.number, body.workspace, body.amount / _MILLIONTHS_PER_UNIT)
 
 
 def _write_share(builder: Any, frame: node_frames.QuotaShare, now: float) -> None:
@@ -66,12 +70,12 @@
 
 
 def _read_share(body: Any, now: float) -> node_frames.QuotaShare:
-    return node_frames.QuotaShare(body.number, body.amount / _MILLIONTHS)
+    return node_frames.QuotaShare(body.number, body.amount / _MILLIONTHS_PER_UNIT)
 
 
 def _millionths(amount: float) -> int:
-    """Write an amount of tokens; rounded down, so that none comes into being on the way."""
-    return min(_MOST_MILLIONTHS, int(amount * _MILLIONTHS))
+    """Convert tokens to wire units, rounding down so that a transfer never creates tokens."""
+    return min(_MAX_MILLIONTHS, int(amount * _MILLIONTHS_PER_UNIT))
 
 
 ENCODERS: dict[type, Callable[[Any, Any, float], None]] = {
@@ -81,7 +85,7 @@
     node_frames.QuotaPull: _write_pull,
     node_frames.QuotaShare: _write_share,
 }
-"""Writers by message class: (builder of a frame, message, present)."""
+"""Encoders by message class; each takes the frame's builder, the message and the current time."""
 
 DECODERS: dict[str, Callable[[Any, float], Any]] = {
     "quotaAsk": _read_ask,
@@ -90,4 +94,4 @@
     "quotaPull": _read_pull,
     "quotaShare": _read_share,
 }
-"""Readers by the frame's kind: (body, present)."""
+"""Decoders by kind of frame; each takes the frame's body and the current time."""
--- a/src/lineworks/wire/_sharing_codec.py
+++ b/src/lineworks/wire/_sharing_codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the frames by which instances share extra attempts and evidence."""
+"""Encodes and decodes the frames that share extra attempts and reports on targets."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_MILLIONTHS = 1_000_000
+_MILLIONTHS_PER_UNIT = 1_000_000
 
-_MOST_MILLIONTHS = 2**32 - 1
+_MAX_MILLIONTHS = 2**32 - 1
 
-_HUNDREDTHS = 100
+_HUNDREDTHS_PER_UNIT = 100
 
-_MOST_HUNDREDTHS = 2**16 - 1
+_MAX_HUNDREDTHS = 2**16 - 1
 
 _KINDS = tuple(target_evidence.Kind)
 
@@ -53,12 +53,12 @@
 def _write_share(builder: Any, frame: node_frames.CreditShare, now: float) -> None:
     body = builder.init("creditShare")
     body.number = frame.number
-    # Rounded down, so that no credit comes into being on the way.
-    body.amount = min(_MOST_MILLIONTHS, int(frame.amount * _MILLIONTHS))
+    # Rounded down, so that a transfer never creates credit.
+    body.amount = min(_MAX_MILLIONTHS, int(frame.amount * _MILLIONTHS_PER_UNIT))
 
 
 def _read_share(body: Any, now: float) -> node_frames.CreditShare:
-    return node_frames.CreditShare(body.number, body.amount / _MILLIONTHS)
+    return node_frames.CreditShare(body.number, body.amount / _MILLIONTHS_PER_UNIT)
 
 
 def _write_reports(builder: Any, frame: node_frames.TargetReports, now: float) -> None:
@@ -67,7 +67,7 @@
     body.targets = [row.target for row in rows]
     body.kinds = [int(row.kind) for row in rows]
     body.isBelief = frame.is_belief
-    body.factors = [min(_MOST_HUNDREDTHS, int(row.factor * _HUNDREDTHS)) for row in rows]
+    body.factors = [min(_MAX_HUNDREDTHS, int(row.factor * _HUNDREDTHS_PER_UNIT)) for row in rows]
 
 
 def _read_reports(body: Any, now: float) -> node_frames.TargetReports:
@@ -76,7 +76,7 @@
         raise _base.MalformedFrameError("columns of different lengths")
     return node_frames.TargetReports(
         tuple(
-            target_evidence.Sighting(target, _KINDS[kind], factor / _HUNDREDTHS)
+            target_evidence.Sighting(target, _KINDS[kind], factor / _HUNDREDTHS_PER_UNIT)
             for target, kind, factor in zip(*columns, strict=True)
         ),
         body.isBelief,
@@ -90,7 +90,7 @@
     node_frames.CreditShare: _write_share,
     node_frames.TargetReports: _write_reports,
 }
-"""Writers by message class: (builder of a frame, message, present)."""
+"""Encoders by message class; each takes the frame's builder, the message and the current time."""
 
 DECODERS: dict[str, Callable[[Any, float], Any]] = {
     "extraAsk": _read_ask,
@@ -99,4 +99,4 @@
     "creditShare": _read_share,
     "targetReports": _read_reports,
 }
-"""Readers by the frame's kind: (body, present)."""
+"""Decoders by kind of frame; each takes the frame's body and the current time."""
--- a/src/lineworks/wire/_suspect_codec.py
+++ b/src/lineworks/wire/_suspect_codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes the frame by which instances tell each other of suspects."""
+"""Encodes and decodes the frame that reports suspect requests."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def _age(at: float, now: float) -> int:
-    return int(max(0.0, now - at) * _base.MICROSECONDS)
+    return int(max(0.0, now - at) * _base.MICROSECONDS_PER_SECOND)
 
 
 def _read_reports(body: Any, now: float) -> node_frames.SuspectReports:
@@ -42,11 +42,11 @@
         raise _base.MalformedFrameError("columns of different lengths")
     if {len(column) for column in ends} != {sum(counts)}:
         raise _base.MalformedFrameError("columns of different lengths")
-    read = [
+    decoded_ends = [
         suspects.End(
             target,
             attempt,
-            now - age / _base.MICROSECONDS,
+            now - age / _base.MICROSECONDS_PER_SECOND,
             bool(flag & _IS_TRIAL),
             bool(flag & _IS_PROVEN),
         )
@@ -54,16 +54,16 @@
     ]
     records = []
     for content, epoch, is_cleared, age, count in zip(*columns, counts, strict=True):
-        own, read = tuple(read[:count]), read[count:]
-        cleared_at = now - age / _base.MICROSECONDS if is_cleared else None
-        records.append(suspects.Record(content, epoch, own, cleared_at))
+        own_ends, decoded_ends = tuple(decoded_ends[:count]), decoded_ends[count:]
+        cleared_at = now - age / _base.MICROSECONDS_PER_SECOND if is_cleared else None
+        records.append(suspects.Record(content, epoch, own_ends, cleared_at))
     return node_frames.SuspectReports(tuple(records))
 
 
 ENCODERS: dict[type, Callable[[Any, Any, float], None]] = {
     node_frames.SuspectReports: _write_reports,
 }
-"""Writers by message class: (builder of a frame, message, present)."""
+"""Encoders by message class; each takes the frame's builder, the message and the current time."""
 
 DECODERS: dict[str, Callable[[Any, float], Any]] = {"suspectReports": _read_reports}
-"""Readers by the frame's kind: (body, present)."""
+"""Decoders by kind of frame; each takes the frame's body and the current time."""
--- a/src/lineworks/wire/codec.py
+++ b/src/lineworks/wire/codec.py
@@ -1,6 +1,6 @@
 """Encodes and decodes frames of the peer link with Cap'n Proto.
 
-The schema is `peer.capnp`, loaded at import; no generator is needed.
+The schema `peer.capnp` is loaded at import time, so no code generation is needed.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 _FRAME = _SCHEMA.Frame
 
 MalformedFrameError = _base.MalformedFrameError
-"""The bytes are not a frame of the peer link."""
+"""The data is not a valid frame of the peer link."""
 
-MAX_FRAME = 4 * 1024 * 1024
-"""Bytes that a frame may have."""
+MAX_FRAME_BYTES = 4 * 1024 * 1024
+"""Maximum size of a frame in bytes."""
 
-_TRAVERSAL_LIMIT = MAX_FRAME
+_TRAVERSAL_LIMIT_WORDS = MAX_FRAME_BYTES
 _CERTAINTIES = tuple(verdict.Certainty)
 _REASONS = tuple(verdict.Reason)
 _CERTAINTY_NUMBERS = {item: number for number, item in enumerate(_CERTAINTIES)}
@@ -43,14 +43,14 @@
 
 
 def encode(frame: frames.Frame, now: float) -> bytes:
-    """Write a frame.
+    """Encode a frame.
 
     Args:
         frame: The message.
-        now: The present on the sender's clock, in seconds.
+        now: Current time on the sender's clock, in seconds.
 
     Returns:
-        The bytes, without a length prefix.
+        The encoded frame, without a length prefix.
     """
     builder = _FRAME.new_message()
     _ENCODERS[type(frame)](builder, frame, now)
@@ -59,21 +59,21 @@
 
 
 def decode(data: bytes, now: float) -> frames.Frame:
-    """Read a frame.
+    """Decode a frame.
 
     Args:
-        data: The bytes, without a length prefix.
-        now: The present on the receiver's clock, in seconds.
+        data: The encoded frame, without a length prefix.
+        now: Current time on the receiver's clock, in seconds.
 
     Returns:
         The message.
 
     Raises:
-        _base.MalformedFrameError: The bytes are truncated, damaged, of an unknown kind, or their
+        _base.MalformedFrameError: The frame is truncated, damaged or of an unknown kind, or its
             columns have different lengths.
     """
     try:
-        with _FRAME.from_bytes(data, traversal_limit_in_words=_TRAVERSAL_LIMIT) as reader:
+        with _FRAME.from_bytes(data, traversal_limit_in_words=_TRAVERSAL_LIMIT_WORDS) as reader:
             kind = str(reader.which())
             read = _DECODERS.get(kind)
             if read is None:
@@ -83,7 +83,7 @@
         raise
     except (capnp.KjException, ValueError, IndexError, UnicodeDecodeError, TypeError) as error:
         raise _base.MalformedFrameError(
-            str(error).splitlines()[0] if str(error) else "?"
+            str(error).splitlines()[0] if str(error) else "malformed frame"
         ) from error
 
 
@@ -119,12 +119,14 @@
     body.services = list(frame.services)
     body.shards = list(frame.shards)
     body.body = frame.body
-    body.remaining = _base.remaining(frame.deadline, now)
+    body.remaining = _base.remaining_microseconds(frame.deadline, now)
     body.isRepeatable = frame.is_repeatable
     body.needsSnapshot = frame.needs_snapshot
     body.group = frame.group
     body.hedgeBudget = frame.hedge_budget
-    body.networkDelay = min(_base.MAX_REMAINING, int(frame.network_delay * _base.MICROSECONDS))
+    body.networkDelay = min(
+        _base.MAX_MICROSECONDS, int(frame.network_delay * _base.MICROSECONDS_PER_SECOND)
+    )
 
 
 def _write_cancel(builder: Any, frame: messages.Cancel, now: float) -> None:
@@ -143,7 +145,9 @@
     body.details = [row.verdict.detail for row in rows]
     body.snapshots = [str(row.snapshot) if row.snapshot else "" for row in rows]
     body.bodies = [row.body for row in rows]
-    body.waits = [min(_base.MAX_REMAINING, int(row.waited * _base.MICROSECONDS)) for row in rows]
+    body.waits = [
+        min(_base.MAX_MICROSECONDS, int(row.waited * _base.MICROSECONDS_PER_SECOND)) for row in rows
+    ]
     body.targets = [row.target for row in rows]
     body.attempts = [row.attempts for row in rows]
 
@@ -171,7 +175,7 @@
     body.number = frame.number
     body.ticket = frame.ticket
     body.document = frame.document
-    body.remaining = _base.remaining(frame.deadline, now)
+    body.remaining = _base.remaining_microseconds(frame.deadline, now)
 
 
 def _write_relay_reply(builder: Any, frame: frames.RelayReply, now: float) -> None:
@@ -212,12 +216,12 @@
         services=services,
         shards=shards,
         body=bytes(body.body),
-        deadline=now + body.remaining / _base.MICROSECONDS,
+        deadline=now + body.remaining / _base.MICROSECONDS_PER_SECOND,
         is_repeatable=body.isRepeatable,
         needs_snapshot=body.needsSnapshot,
         group=body.group,
         hedge_budget=round(body.hedgeBudget, 6),
-        network_delay=body.networkDelay / _base.MICROSECONDS,
+        network_delay=body.networkDelay / _base.MICROSECONDS_PER_SECOND,
     )
 
 
@@ -255,14 +259,14 @@
     target: str,
     attempts: int,
 ) -> messages.ShardReply:
-    found = verdict.Verdict(_CERTAINTIES[certainty], _REASONS[reason], detail)
+    outcome = verdict.Verdict(_CERTAINTIES[certainty], _REASONS[reason], detail)
     return messages.ShardReply(
         frame,
         index,
-        found,
+        outcome,
         catalog.parse_snapshot(snapshot) if snapshot else None,
         bytes(body),
-        waited / _base.MICROSECONDS,
+        waited / _base.MICROSECONDS_PER_SECOND,
         target,
         attempts,
     )
@@ -290,7 +294,7 @@
 
 
 def _read_relay(body: Any, now: float) -> frames.Frame:
-    deadline = now + body.remaining / _base.MICROSECONDS
+    deadline = now + body.remaining / _base.MICROSECONDS_PER_SECOND
     return frames.Relay(body.number, body.ticket, bytes(body.document), deadline)
 
 
--- a/src/lineworks/wire/deflate.py
+++ b/src/lineworks/wire/deflate.py
@@ -1,8 +1,8 @@
-"""Compresses the frames of one link with a history that all of them share.
+"""Compresses the frames of a link with a shared DEFLATE window.
 
-Requests on a link repeat their heads and the names of services, so a frame costs little more than
-what is new in it. Each frame ends on a byte boundary; the four bytes that every such end has are
-left out, as in RFC 7692.
+Requests on a link repeat their heads and the names of services, so a compressed frame is little
+larger than its new content. Each frame ends with a sync flush; the four bytes 00 00 FF FF at the
+end of a sync flush are omitted, as in RFC 7692.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 
 from lineworks.wire import _base
 
-LEVEL = 4
-"""Level of compression: higher ones find hardly more in frames of some hundred bytes."""
+COMPRESSION_LEVEL = 4
+"""Default compression level; higher levels hardly shrink frames of some hundred bytes further."""
 
-STORED = 0
-"""Level without compression; the receiving side needs not know."""
+NO_COMPRESSION = 0
+"""Compression level that stores data uncompressed; the receiver needs no configuration for it."""
 
 WINDOW_BITS = 13
-"""History of 8 KB: some tens of frames. Larger ones cost memory for each link."""
+"""Window size of 8 KB, some tens of frames; a larger window costs more memory for each link."""
 
 MEMORY_LEVEL = 6
-"""Memory of the search: 64 KB a link with this history."""
+"""zlib's memory level for the match search: 64 KB per link with this window."""
 
-_END = b"\x00\x00\xff\xff"
+_SYNC_FLUSH_TRAILER = b"\x00\x00\xff\xff"
 
 
 class Deflater:
-    """The sending side of a link."""
+    """Compressor for the frames sent on a link."""
 
-    def __init__(self, level: int = LEVEL) -> None:
-        """Start without history.
+    def __init__(self, level: int = COMPRESSION_LEVEL) -> None:
+        """Initialise with an empty window.
 
         Args:
-            level: Level of compression.
+            level: zlib compression level.
         """
-        self._state = zlib.compressobj(level, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL)
+        self._stream = zlib.compressobj(level, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL)
 
     def deflate(self, data: bytes) -> bytes:
         """Compress a frame.
@@ -44,40 +44,40 @@
             data: The frame.
 
         Returns:
-            Bytes that only the receiving side of the same link understands, in order.
+            The compressed frame. The peer must inflate the frames of a link in the order sent.
         """
-        packed = self._state.compress(data) + self._state.flush(zlib.Z_SYNC_FLUSH)
-        return packed.removesuffix(_END)
+        packed = self._stream.compress(data) + self._stream.flush(zlib.Z_SYNC_FLUSH)
+        return packed.removesuffix(_SYNC_FLUSH_TRAILER)
 
 
 class Inflater:
-    """The receiving side of a link."""
+    """Decompressor for the frames received on a link."""
 
     def __init__(self, limit: int) -> None:
-        """Start without history.
+        """Initialise with an empty window.
 
         Args:
-            limit: Bytes that a frame may have.
+            limit: Maximum size of a decompressed frame in bytes.
         """
         self._limit = limit
-        self._state = zlib.decompressobj(-WINDOW_BITS)
+        self._stream = zlib.decompressobj(-WINDOW_BITS)
 
     def inflate(self, data: bytes) -> bytes:
-        """Restore a frame.
+        """Decompress a frame.
 
         Args:
-            data: What `Deflater.deflate` made.
+            data: A frame compressed by `Deflater.deflate`.
 
         Returns:
             The frame.
 
         Raises:
-            MalformedFrameError: The bytes are damaged, or the frame is too long.
+            MalformedFrameError: The data is damaged, or the frame exceeds the limit.
         """
         try:
-            found = self._state.decompress(data + _END, self._limit)
+            frame = self._stream.decompress(data + _SYNC_FLUSH_TRAILER, self._limit)
         except zlib.error as error:
-            raise _base.MalformedFrameError(f"not compressed data: {error}") from error
-        if self._state.unconsumed_tail:
-            raise _base.MalformedFrameError("the frame is too long")
-        return found
+            raise _base.MalformedFrameError(f"invalid compressed data: {error}") from error
+        if self._stream.unconsumed_tail:
+            raise _base.MalformedFrameError(f"frame exceeds {self._limit} bytes")
+        return frame
--- a/src/lineworks/wire/frames.py
+++ b/src/lineworks/wire/frames.py
@@ -1,4 +1,4 @@
-"""Messages of the peer link besides the engine's own."""
+"""Messages of the peer link other than those defined by the engine."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Challenge:
-    """First message on a link, from each side."""
+    """First message on a link, sent by both sides."""
 
     nonce: bytes
-    """Random bytes that the other side's `Hello` must be signed over."""
+    """Random bytes that the MAC of the peer's `Hello` must cover."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """Says who is at this end of the link."""
+    """Identifies and authenticates the sender."""
 
     name: str
     """Name of the instance."""
 
     hall: str
-    """Its data hall."""
+    """Data hall of the instance."""
 
     incarnation: str
-    """Identity of its process."""
+    """Identity of the instance's process."""
 
     mac: bytes
-    """HMAC-SHA256 of the challenge and the other fields, by the shared secret."""
+    """HMAC-SHA256 of the challenge and the other fields, keyed with the shared secret."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sent each second on every link, and at once when something in it changes."""
+    """Sent every second on every link, and immediately when its content changes."""
 
     is_leaving: bool
-    """Whether the sender takes no new work."""
+    """Whether the sender accepts no new work because it is stopping."""
 
     config_version: int
     """Version of the configuration in force at the sender."""
@@ -53,18 +53,18 @@
     """Digest of the chain of changes up to that version."""
 
     instances: int = 0
-    """Instances that the sender sees, itself included; 0 where that is not known."""
+    """Number of instances that the sender knows of, including itself; 0 if unknown."""
 
     store_era: int = 0
-    """Greatest era of the platform's store that the sender knows of; 0 where it knows none."""
+    """Highest era of the platform's store that the sender knows of; 0 if unknown."""
 
     gather_rate: float = 0.0
-    """Shards a second that the sender can ask for others; 0 where it does not tell."""
+    """Shards per second that the sender can query for other instances; 0 if not stated."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replies:
-    """Outcomes of sub-queries, batched."""
+    """A batch of sub-query outcomes."""
 
     replies: tuple[messages.ShardReply, ...]
     """The outcomes."""
@@ -72,21 +72,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Holdings:
-    """What a gatherer can serve, whole."""
+    """All snapshots that a gatherer can serve."""
 
     held: Mapping[str, frozenset[catalog.Snapshot]]
-    """For each service owned, the snapshots held."""
+    """Available snapshots by owned service."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigPull:
-    """Asks for the changes after a version."""
+    """Requests the configuration changes after a version."""
 
     version: int
     """Version in force at the sender."""
 
     digest: str
-    """Its digest."""
+    """Digest of that version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -99,19 +99,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """Hands a request with a ticket to the instance that issued the ticket."""
+    """Forwards a request with a ticket to the instance that issued the ticket."""
 
     number: int
-    """Number of this message, unique for the sending incarnation."""
+    """Message number, unique within the sending process."""
 
     ticket: str
-    """The ticket."""
+    """Ticket of the request."""
 
     document: bytes
     """The caller's request as JSON."""
 
     deadline: float
-    """Time by which the reply is of use, in seconds on the receiver's clock."""
+    """Deadline of the reply, in seconds on the receiver's clock."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -119,10 +119,10 @@
     """The outcome of a relayed request."""
 
     number: int
-    """Number of the `Relay`."""
+    """Message number of the `Relay`."""
 
     document: bytes
-    """The answer as JSON."""
+    """The response as JSON."""
 
 
 Frame: TypeAlias = (
@@ -155,4 +155,4 @@
     | node_frames.QuotaPull
     | node_frames.QuotaShare
 )
-"""Everything that travels on a peer link."""
+"""Any message of a peer link."""
--- a/src/lineworks/wire/node_frames.py
+++ b/src/lineworks/wire/node_frames.py
@@ -1,4 +1,4 @@
-"""Frames between instances on the platform's path: queries, parts, targets and configurations."""
+"""Messages between instances for forwarded requests, shared state and configurations."""
 
 from __future__ import annotations
 
@@ -11,215 +11,218 @@
 
 
 class Failure(enum.IntEnum):
-    """Why a gatherer has no part of a shard."""
+    """Why a gatherer has no response from a shard."""
 
     NOT_SENT = 0
-    """The request reached no target."""
+    """The request was not sent to any target."""
 
     NOT_RUN = 1
-    """A target refused it without running it."""
+    """A target refused the request without executing it."""
 
     MAY_HAVE_RUN = 2
-    """A target may have run it, and no whole answer came."""
+    """A target may have executed the request, but no complete response arrived."""
 
     RAN = 3
-    """A target ran it and failed."""
+    """A target executed the request and failed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GatherQuery:
-    """Asks a gatherer for the parts of several shards."""
+    """Requests the partial results of several shards from a gatherer."""
 
     number: int
-    """Number of this message, unique for the sending process."""
+    """Message number, unique within the sending process."""
 
     services: tuple[str, ...]
-    """Services that are the shards."""
+    """Services that represent the shards."""
 
     head: bytes
-    """Request line and headers for every target, without those that differ by target."""
+    """Request line and the header fields that are the same for all targets."""
 
     body: bytes
-    """The request's body."""
+    """Request body."""
 
     attempt: bytes
-    """Identity of the caller's try; targets repeat it."""
+    """Identifier of the caller's attempt; targets echo it."""
 
     top: int
-    """Records wanted at most."""
+    """Maximum number of records in the result."""
 
     floor: bytes
-    """Records below this one are of no use; empty for none."""
+    """Lower bound of the records wanted; records below it are not used. Empty for no bound."""
 
     deadline: float
-    """Time by which parts are of use, in seconds on the receiver's clock."""
+    """Deadline of the partial results, in seconds on the receiver's clock."""
 
     flush_at: float
-    """Time at which the parts that are in are sent, in seconds on the receiver's clock."""
+    """Time at which the gatherer sends the partial results received so far, in seconds on the
+    receiver's clock."""
 
     is_fair: bool = False
-    """Whether room is shared between workspaces."""
+    """Whether the gatherer shares its capacity fairly between workspaces."""
 
     workspace: str = ""
-    """Name of the workspace that it is for; empty for none."""
+    """Name of the workspace on whose behalf the request runs; empty for none."""
 
     has_quota: bool = False
-    """Whether that workspace has a quota."""
+    """Whether the workspace has a quota."""
 
     priority: int = 0
-    """Rank; 0 is the most urgent."""
+    """Priority of the request; 0 is the most urgent."""
 
     due: float = 0.0
-    """When the parts must leave to be of use in time, in seconds on the receiver's clock."""
+    """Time by which the partial results must be sent in order to arrive in time, in seconds on
+    the receiver's clock."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GatherParts:
-    """Some of the shards that a `GatherQuery` asked for, merged or side by side."""
+    """Partial results for some shards of a `GatherQuery`, merged or shard by shard."""
 
     number: int
-    """Number of the query."""
+    """Message number of the `GatherQuery`."""
 
     shards: tuple[int, ...]
-    """Positions in the query's services of the shards that are in."""
+    """Indices in the query's `services` of the shards that responded."""
 
     stamps: tuple[str, ...]
-    """The targets' signatures, one for each of these shards."""
+    """Stamps of the targets' responses, one for each of these shards."""
 
     records: bytes
-    """The greatest records of these shards, falling, one after the other. Those that can't be in
-    the answer beside the query's floor, or beside the first part of the query, are left out; so a
-    front that can't use the first part of a query can't use the later ones either."""
+    """The top records of these shards, concatenated in descending order. Records are omitted if
+    the query's floor, or the first partial result sent for the query, rules them out of the final
+    result. A front that can't use the first partial result therefore can't use later ones
+    either."""
 
     failed: tuple[int, ...]
-    """Positions of the shards that nothing is to be expected for."""
+    """Indices of the shards that failed and will yield no result."""
 
     failures: tuple[Failure, ...]
-    """For each of those, why."""
+    """Reason for each entry of `failed`."""
 
     counts: tuple[int, ...] = ()
-    """Records of each shard, in the order of `shards`, where the shards are not merged: `records`
-    then holds theirs one shard after the other. Empty when they are merged."""
+    """Number of records of each shard, in the order of `shards`, if the shards are not merged;
+    `records` is then grouped by shard in this order. Empty if they are merged."""
 
     broken: tuple[str, ...] = ()
-    """For each failure the identity of the target whose connection ended before its answer, or an
-    empty text. Left out when none did."""
+    """For each entry of `failed`, the identity of the target whose connection closed before its
+    response, or an empty string. Empty if no connection closed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GatherCancel:
-    """Gives up shards of a `GatherQuery`."""
+    """Cancels shards of a `GatherQuery`."""
 
     number: int
-    """Number of the query."""
+    """Message number of the `GatherQuery`."""
 
     shards: tuple[int, ...] = ()
-    """Positions given up; empty for all."""
+    """Indices of the cancelled shards; empty for all."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExtraAsk:
-    """Asks a keeper for extra attempts, one at each service."""
+    """Requests extra attempts from the hall's keeper, one for each service."""
 
     number: int
-    """Number of this message, unique for the sending process."""
+    """Message number, unique within the sending process."""
 
     hedges: tuple[str, ...]
-    """Services that a second attempt beside a slow one is wanted for."""
+    """Services for which a hedge is requested: a second attempt while a slow one is pending."""
 
     retries: tuple[str, ...]
-    """Services that an attempt after a failed one is wanted for."""
+    """Services for which a retry is requested: another attempt after a failed one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExtraGrant:
-    """A keeper's answer."""
+    """The keeper's reply to an `ExtraAsk`."""
 
     number: int
-    """Number of the `ExtraAsk`."""
+    """Message number of the `ExtraAsk`."""
 
     services: tuple[str, ...]
-    """Services that one extra attempt each is granted for."""
+    """Services for which one extra attempt each is granted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CreditPull:
-    """Asks an instance for the credit that it has earned."""
+    """Requests the credit for extra attempts that an instance has earned."""
 
     number: int
-    """Number of this message, unique for the sending process."""
+    """Message number, unique within the sending process."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CreditShare:
-    """Hands credit over; the sender has none of it any more."""
+    """Transfers credit; the sender has already deducted it."""
 
     number: int
-    """Number of the `CreditPull`."""
+    """Message number of the `CreditPull`."""
 
     amount: float
-    """Extra attempts for every service, fractions included."""
+    """Number of extra attempts for every service; may be fractional."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetReports:
-    """Tells the keeper of a data hall what was seen of targets, or the hall what it made of it."""
+    """Carries observations of targets to a hall's keeper, or the keeper's beliefs to the hall."""
 
     sightings: tuple[target_evidence.Sighting, ...]
-    """One for each target."""
+    """One observation for each target."""
 
     is_belief: bool = False
-    """Whether the keeper says so, by the reports of several instances."""
+    """Whether these are the keeper's beliefs, based on reports of several instances."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspectReports:
-    """Tells the peers of requests under which targets ended."""
+    """Reports requests during which targets terminated."""
 
     records: tuple[suspects.Record, ...]
-    """One for each request, with times on the receiver's clock."""
+    """One record for each request, with times on the receiver's clock."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetUpdate:
-    """Tells the peers of a data hall what the platform's store said of the targets."""
+    """Forwards changes of targets, read from the platform's store, to the peers in a data hall."""
 
     after: positions.Position
-    """Position after which the changes begin; `positions.ABSENT` when they list all targets."""
+    """Position after which the changes begin; `positions.ABSENT` if they list all targets."""
 
     position: positions.Position
-    """Position up to which they go."""
+    """Position of the last change."""
 
     age: float
-    """Seconds since the store was asked."""
+    """Seconds since the store was read."""
 
     document: bytes
-    """The changes, as `target_documents` writes them."""
+    """The changes, encoded by `target_documents`."""
 
     evacuations: tuple[evacuations.EvacuationChange, ...] = ()
-    """Changes of the halls that get no new work, of the same positions."""
+    """Changes of evacuated halls between the same positions."""
 
     unsettled: bytes = b""
-    """Entries that may yet go or come back, as `target_documents` writes them."""
+    """Entries that may still be removed or restored, encoded by `target_documents`."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableUpdate:
-    """Carries a whole configuration."""
+    """Carries a complete configuration."""
 
     version: int
-    """Its version."""
+    """Version of the configuration."""
 
     document: bytes = dataclasses.field(repr=False)
-    """The document as it lies in the store. It holds API keys."""
+    """The document as stored. It contains API keys."""
 
     era: int
-    """Era of the store in which it was read there."""
+    """Era of the store in which the document was read."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TablePull:
-    """Asks for the configuration in force at a peer."""
+    """Requests the configuration in force at a peer."""
 
     version: int
     """Version in force at the sender."""
@@ -227,60 +230,60 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaAsk:
-    """Asks the holder of a workspace's tokens for one."""
+    """Requests one token from the holder of a workspace's tokens."""
 
     number: int
-    """Number of this message, unique for the sending process."""
+    """Message number, unique within the sending process."""
 
     workspace: str
     """Name of the workspace."""
 
     version: int = 0
-    """Version of the configuration by which it has a limit."""
+    """Version of the configuration that defines the workspace's limit."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """A holder's answer."""
+    """The holder's reply to a `QuotaAsk`."""
 
     number: int
-    """Number of the `QuotaAsk`."""
+    """Message number of the `QuotaAsk`."""
 
     decision: quota.Decision
-    """What it is."""
+    """Decision of the holder."""
 
     retry_after: float = 0.0
-    """Seconds after which the caller may ask again, where there is no token."""
+    """Seconds after which the caller may retry if no token was granted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaReturn:
-    """Gives back the token of a request that certainly did not run."""
+    """Returns the token of a request that was certainly not executed."""
 
     number: int
-    """Number of the `QuotaAsk` that it was granted for."""
+    """Message number of the `QuotaAsk` for which the token was granted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaPull:
-    """Asks the holder in another data hall for tokens."""
+    """Requests tokens from the holder in another data hall."""
 
     number: int
-    """Number of this message, unique for the sending process."""
+    """Message number, unique within the sending process."""
 
     workspace: str
     """Name of the workspace."""
 
     amount: float
-    """Tokens wanted at most, fractions included."""
+    """Maximum number of tokens requested; may be fractional."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaShare:
-    """Hands tokens over; the sender has none of them any more."""
+    """Transfers tokens; the sender has already deducted them."""
 
     number: int
-    """Number of the `QuotaPull`."""
+    """Message number of the `QuotaPull`."""
 
     amount: float
-    """Tokens, fractions included."""
+    """Number of tokens; may be fractional."""
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""The peer link's codec: round trips, and bytes of any kind."""
+"""The peer link's codec: round trips, and arbitrary or damaged input."""
 
 from __future__ import annotations
 
@@ -149,13 +149,13 @@
 
 @hypothesis.given(_frame)
 @hypothesis.settings(max_examples=300)
-def test_round_trip(frame):
-    found = codec.decode(codec.encode(frame, 0.0), 0.0)
-    assert _near(found) == _near(frame)
+def test_frames_round_trip(frame):
+    decoded = codec.decode(codec.encode(frame, 0.0), 0.0)
+    assert _rounded(decoded) == _rounded(frame)
 
 
-def _near(frame):
-    """Round times to microseconds, as the link does."""
+def _rounded(frame):
+    """Round times, since the link carries them as whole microseconds."""
     if isinstance(frame, messages.SubQueries):
         times = (round(frame.deadline, 5), round(frame.network_delay, 5))
         return (frame.frame, frame.query, frame.services, frame.shards, frame.body, times)
@@ -177,7 +177,7 @@
 
 @hypothesis.given(st.binary(max_size=400))
 @hypothesis.settings(max_examples=300)
-def test_any_bytes_are_a_frame_or_malformed(data):
+def test_arbitrary_bytes_decode_or_are_malformed(data):
     try:
         codec.decode(data, 0.0)
     except codec.MalformedFrameError as error:
@@ -186,7 +186,7 @@
 
 @hypothesis.given(_frame, st.data())
 @hypothesis.settings(max_examples=300)
-def test_damaged_frames_never_raise_anything_else(frame, data):
+def test_damaged_frames_raise_only_malformed_frame_errors(frame, data):
     damaged = bytearray(codec.encode(frame, 0.0))
     for _ in range(data.draw(st.integers(1, 4))):
         damaged[data.draw(st.integers(0, len(damaged) - 1))] = data.draw(st.integers(0, 255))
@@ -198,43 +198,43 @@
 
 
 def test_columns_of_different_lengths_are_malformed():
-    whole = messages.SubQueries(
+    even = messages.SubQueries(
         1, "q", "h", catalog.Snapshot(1, "base"), ("a", "b"), ("a", "b"), b"", 1.0
     )
     uneven = messages.SubQueries(
         1, "q", "h", catalog.Snapshot(1, "base"), ("a", "b"), ("a",), b"", 1.0
     )
-    assert codec.decode(codec.encode(whole, 0.0), 0.0)
+    assert codec.decode(codec.encode(even, 0.0), 0.0)
     with pytest.raises(codec.MalformedFrameError, match="different lengths"):
         codec.decode(codec.encode(uneven, 0.0), 0.0)
 
 
-def test_uneven_columns_of_gathered_parts_are_malformed():
-    whole = node_frames.GatherParts(1, (0, 1), ("a", "b"), b"", (), (), (0, 0))
+def test_gathered_parts_with_columns_of_different_lengths_are_malformed():
+    even = node_frames.GatherParts(1, (0, 1), ("a", "b"), b"", (), (), (0, 0))
     for uneven in ({"counts": (1,)}, {"stamps": ("a",)}, {"failed": (2,)}):
-        data = codec.encode(dataclasses.replace(whole, **uneven), 0.0)
+        data = codec.encode(dataclasses.replace(even, **uneven), 0.0)
         with pytest.raises(codec.MalformedFrameError, match="different lengths"):
             codec.decode(data, 0.0)
 
 
-def test_deadlines_travel_as_remaining_time():
+def test_deadlines_are_sent_as_remaining_time():
     asked = messages.SubQueries(
         1, "q", "h", catalog.Snapshot(1, "base"), ("a",), ("a",), b"", deadline=100.5
     )
-    found = codec.decode(codec.encode(asked, 100.0), 7.0)
-    assert isinstance(found, messages.SubQueries)
-    assert found.deadline == pytest.approx(7.5, abs=1e-5)
+    decoded = codec.decode(codec.encode(asked, 100.0), 7.0)
+    assert isinstance(decoded, messages.SubQueries)
+    assert decoded.deadline == pytest.approx(7.5, abs=1e-5)
 
 
 @pytest.mark.parametrize("kind", [node_frames.CreditShare, node_frames.QuotaShare])
-def test_credit_and_tokens_never_grow_on_the_way(kind):
+def test_transferred_credit_and_tokens_are_rounded_down(kind):
     frame = kind(1, 0.1234567899)
-    found = codec.decode(codec.encode(frame, 0.0), 0.0)
-    assert found.amount <= frame.amount
-    assert found.amount > frame.amount - 2e-6
+    decoded = codec.decode(codec.encode(frame, 0.0), 0.0)
+    assert decoded.amount <= frame.amount
+    assert decoded.amount > frame.amount - 2e-6
 
 
-def test_an_unknown_decision_on_a_quota_is_malformed():
+def test_unknown_quota_decision_is_malformed():
     data = bytearray(codec.encode(node_frames.QuotaGrant(1, quota.Decision.UNSURE), 0.0))
     data[data.rindex(int(quota.Decision.UNSURE))] = 77
     with pytest.raises(codec.MalformedFrameError):
