--- a/src/lineworks/services/peer_link.py
+++ b/src/lineworks/services/peer_link.py
@@ -11,7 +11,7 @@
 import structlog
 from twisted.protocols import basic
 
-from lineworks.kernel import prompt_write
+from lineworks.kernel import immediate_write
 from lineworks.wire import codec, deflate, frames
 
 if TYPE_CHECKING:
@@ -70,7 +70,7 @@
 class PeerLink(basic.Int32StringReceiver):
     """One end of a link."""
 
-    MAX_LENGTH = codec.MAX_FRAME
+    MAX_LENGTH = codec.MAX_FRAME_BYTES
     transport: Any
 
     def __init__(self, owner: LinkOwner, is_dialler: bool = False) -> None:
@@ -83,8 +83,10 @@
         self._owner = owner
         self.is_dialler = is_dialler
         self._nonce = os.urandom(_NONCE_BYTES)
-        self._deflater = deflate.Deflater(deflate.LEVEL if owner.compresses else deflate.STORED)
-        self._inflater = deflate.Inflater(codec.MAX_FRAME)
+        self._deflater = deflate.Deflater(
+            deflate.COMPRESSION_LEVEL if owner.compresses else deflate.NO_COMPRESSION
+        )
+        self._inflater = deflate.Inflater(codec.MAX_FRAME_BYTES)
         self._is_dead = False
         self._beat_data = b""
         self._beat: frames.Frame | None = None
@@ -113,7 +115,7 @@
         """
         packed = self._deflater.deflate(data)
         # At once: what a gatherer does should not wait for the calls that follow its query.
-        prompt_write.write(self.transport, struct.pack(self.structFormat, len(packed)) + packed)
+        immediate_write.write(self.transport, struct.pack(self.structFormat, len(packed)) + packed)
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
         """Take in one frame.
