--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -58,7 +58,7 @@
         rng = cluster.rng(f"instance/{name}")
         self.gatherer = gatherer.Gatherer(clock, rng, port, gatherer_tuning, cluster.on_trace)
         self.front = front.Front(name, clock, rng, self, self.view, front_tuning, cluster.on_trace)
-        self.gatherer.on_holdings = self._on_holdings
+        self.gatherer.on_holdings_changed = self._on_holdings
 
     @property
     def address(self) -> tuple[str, str]:
@@ -79,7 +79,7 @@
     def report_targets(self) -> None:
         """Take the report of each owned target that told nothing lately."""
         now = self._cluster.clock.seconds()
-        for replica in list(self.gatherer.owned):
+        for replica in list(self.gatherer.owned_replicas):
             gate = self._cluster.gates[replica.target.name]
             if now - replica.reported_at >= REPORT_SECONDS and not gate.model.is_down:
                 self.gatherer.on_report(replica.target.name, gate.model.report())
--- a/bench/runner.py
+++ b/bench/runner.py
@@ -36,19 +36,19 @@
 
 
 def _unbounded(choose: replicas.Choice, hedge: hedging.Rule) -> sub_query.Tuning:
-    return sub_query.Tuning(choose, is_bounded=False, ejects_stalled=False, hedge=hedge)
+    return sub_query.Tuning(choose, limits_concurrency=False, ejects_stalled=False, hedge=hedge)
 
 
 POLICIES: dict[str, Callable[[], PolicyUnderTest]] = {
     "baseline_random": lambda: PolicyUnderTest(
-        front_state.Tuning(hedge=hedging.never, is_admitting=False, is_routing_by_load=False),
+        front_state.Tuning(hedge=hedging.never, uses_admission=False, routes_by_load=False),
         _unbounded(replicas.choose_random, hedging.never),
     ),
     "baseline_p95_hedge": lambda: PolicyUnderTest(
         front_state.Tuning(
             hedge=hedging.make_percentile_rule(0.95),
-            is_admitting=False,
-            is_routing_by_load=False,
+            uses_admission=False,
+            routes_by_load=False,
             hedge_budget=1.0,
         ),
         _unbounded(replicas.choose_own_in_flight, hedging.make_percentile_rule(0.95)),
--- a/src/lineworks/engine/judgements.py
+++ b/src/lineworks/engine/answers.py
@@ -14,11 +14,11 @@
     from lineworks.engine import query as queries
     from lineworks.engine import views
 
-LEAST_RETRY_AFTER = 0.05
+MIN_RETRY_AFTER = 0.05
 """Seconds after which a refused caller may ask again at the earliest."""
 
 
-def search_problem(
+def check_search(
     config: catalog.Catalog, match: selectors.Match, group: catalog.Group
 ) -> verdict.Verdict | None:
     """Say why a search can't be planned.
@@ -40,7 +40,7 @@
     return None
 
 
-def run_problem(config: catalog.Catalog, is_known: bool, service: str) -> verdict.Verdict | None:
+def check_run(config: catalog.Catalog, is_known: bool, service: str) -> verdict.Verdict | None:
     """Say why a request to one service can't be planned.
 
     Args:
@@ -58,7 +58,7 @@
     return None
 
 
-def reached(query: queries.Query) -> coverage.Coverage:
+def compute_coverage(query: queries.Query) -> coverage.Coverage:
     """Tell which shards a query has and lacks.
 
     Args:
@@ -69,17 +69,17 @@
     """
     covered = []
     lacking = {}
-    given_up = verdict.may_have_run(verdict.Reason.CANCELLED, "given up with the query")
+    cancelled = verdict.may_have_run(verdict.Reason.CANCELLED, "given up with the query")
     for shard in query.shards:
-        found = shard.verdict
-        if found is not None and found.is_ok:
+        result = shard.verdict
+        if result is not None and result.is_ok:
             covered.append(shard.shard)
         else:
-            lacking[shard.shard] = found or given_up
+            lacking[shard.shard] = result or cancelled
     return coverage.Coverage(tuple(covered), lacking)
 
 
-def worse(first: verdict.Verdict | None, second: verdict.Verdict) -> verdict.Verdict:
+def combine_failures(first: verdict.Verdict | None, second: verdict.Verdict) -> verdict.Verdict:
     """Keep the verdict that says less surely that nothing ran; the later one of equals.
 
     Args:
@@ -94,7 +94,7 @@
     return first
 
 
-def why_unreachable(
+def unreachable_verdict(
     view: views.ClusterView, query: queries.Query, shard: queries.Shard
 ) -> verdict.Verdict:
     """Say why no owner is left to ask for a shard.
@@ -115,10 +115,10 @@
     return verdict.not_run(verdict.Reason.NO_REPLICA, "no data hall can serve it")
 
 
-def answer(
+def build_answer(
     query: queries.Query,
-    found: verdict.Verdict,
-    reached: coverage.Coverage,
+    result: verdict.Verdict,
+    shard_coverage: coverage.Coverage,
     bodies: Mapping[str, bytes],
 ) -> requests.Answer:
     """Make the answer to a query.
@@ -126,21 +126,21 @@
     Args:
         query: The query.
         found: What is known of it.
-        reached: The shards that it has and lacks.
+        shard_coverage: The shards that it has and lacks.
         bodies: The body of each shard that it has.
 
     Returns:
         The answer, with a time to come back for an overloaded caller.
     """
     retry_after = None
-    if found.reason is verdict.Reason.OVERLOADED:
-        retry_after = max(LEAST_RETRY_AFTER, query.policy.target_latency)
+    if result.reason is verdict.Reason.OVERLOADED:
+        retry_after = max(MIN_RETRY_AFTER, query.policy.target_latency)
     return requests.Answer(
         query.id,
-        found,
+        result,
         query.snapshot,
         query.config.version,
-        reached,
+        shard_coverage,
         bodies,
         retry_after,
     )
--- a/src/lineworks/engine/dispatcher.py
+++ b/src/lineworks/engine/dispatcher.py
@@ -21,7 +21,7 @@
 
     from lineworks.engine import front_state, ports, views
 
-SILENCE = 0.25
+UNRESPONSIVE_AFTER = 0.25
 """Seconds with work in hand and no reply at all after which a gatherer counts as silent."""
 
 
@@ -30,7 +30,7 @@
     """What is known of one gatherer."""
 
     outstanding: int = 0
-    heard_at: float = 0.0
+    progress_at: float = 0.0
     """Last reply, or the first message after all earlier ones were settled."""
 
 
@@ -46,7 +46,7 @@
         view: views.ClusterView,
         tuning: front_state.Tuning,
         counters: front_state.Counters,
-        state_of: Callable[[queries.Query], queries.GroupState],
+        get_group_state: Callable[[queries.Query], queries.GroupState],
         on_outcome: Callable[[queries.Query, queries.Shard, messages.ShardReply], None],
         trace: Callable[[queries.Query, str, str, str], None],
     ) -> None:
@@ -71,10 +71,10 @@
         self._view = view
         self._tuning = tuning
         self._counters = counters
-        self._state_of = state_of
+        self._get_group_state = get_group_state
         self._on_outcome = on_outcome
         self._trace = trace
-        self._numbers = itertools.count(1)
+        self._frame_numbers = itertools.count(1)
         self._frames: dict[int, queries.Frame] = {}
         self._loads: dict[str, dict[str, routing.HallLoad]] = {}
         self._peers: dict[str, _Peer] = {}
@@ -120,10 +120,10 @@
         if shard.pending.pop(reply.frame, None) is None:
             self._counters.late_replies += 1
             return
-        self._peers[instance].heard_at = self._clock.seconds()
+        self._peers[instance].progress_at = self._clock.seconds()
         self._settle(reply.frame, frame, shard)
-        self._learn(query, frame, shard, reply)
-        if query.is_over or shard.is_done:
+        self._update_estimates(query, frame, shard, reply)
+        if query.is_finished or shard.is_done:
             self._counters.late_replies += 1
             return
         self._on_outcome(query, shard, reply)
@@ -135,9 +135,9 @@
             instance: The gatherer.
         """
         lost = [number for number, frame in self._frames.items() if frame.instance == instance]
-        found = verdict.may_have_run(verdict.Reason.LINK_LOST, f"lost {instance}")
+        result = verdict.may_have_run(verdict.Reason.LINK_LOST, f"lost {instance}")
         for number in lost:
-            self._fail_frame(number, found)
+            self._fail_frame(number, result)
 
     def cancel_query(self, query: queries.Query) -> None:
         """Give up every frame of a query.
@@ -175,38 +175,38 @@
             paths = [path for path in paths if path.hall not in shard.tried_halls]
         elif shard.tried_owners:
             paths = [p for p in paths if not shard.tried_owners.issuperset(p.owners)]
-        paths = self._without_silent(paths)
+        paths = self._exclude_unresponsive(paths)
         if not paths:
             return None
         now = self._clock.seconds()
-        if self._tuning.is_routing_by_load:
-            time = self._state_of(query).service_time.value
+        if self._tuning.routes_by_load:
+            service_time = self._get_group_state(query).service_time.value
             loads = self._hall_loads(shard.service)
-            path = routing.choose_path(paths, loads, now, time, self._rng)
+            path = routing.choose_path(paths, loads, now, service_time, self._rng)
         else:
             path = paths[int(self._rng.random() * len(paths))]
         tried = frozenset(shard.tried_owners)
         outstanding = {name: self._peer(name).outstanding for name in path.owners}
         return path.hall, routing.choose_owner(path, self._name, outstanding, tried)
 
-    def _without_silent(self, paths: Sequence[routing.Path]) -> Sequence[routing.Path]:
+    def _exclude_unresponsive(self, paths: Sequence[routing.Path]) -> Sequence[routing.Path]:
         """Leave out silent owners, unless all are silent."""
-        if not self._tuning.avoids_silent:
+        if not self._tuning.avoids_unresponsive:
             return paths
-        if not any(self._is_silent(name) for path in paths for name in path.owners):
+        if not any(self._is_unresponsive(name) for path in paths for name in path.owners):
             return paths
-        heard = []
+        responsive = []
         for path in paths:
-            owners = tuple(name for name in path.owners if not self._is_silent(name))
+            owners = tuple(name for name in path.owners if not self._is_unresponsive(name))
             if owners:
-                heard.append(dataclasses.replace(path, owners=owners))
-        return heard or paths
+                responsive.append(dataclasses.replace(path, owners=owners))
+        return responsive or paths
 
-    def _is_silent(self, instance: str) -> bool:
+    def _is_unresponsive(self, instance: str) -> bool:
         peer = self._peers.get(instance)
         if peer is None or not peer.outstanding or instance == self._name:
             return False
-        return self._clock.seconds() - peer.heard_at >= SILENCE
+        return self._clock.seconds() - peer.progress_at >= UNRESPONSIVE_AFTER
 
     def _peer(self, instance: str) -> _Peer:
         peer = self._peers.get(instance)
@@ -227,7 +227,7 @@
         self, query: queries.Query, hall: str, instance: str, batch: list[int], is_hedge: bool
     ) -> None:
         now = self._clock.seconds()
-        number = next(self._numbers)
+        number = next(self._frame_numbers)
         shards = [query.shards[position] for position in batch]
         self._frames[number] = queries.Frame(
             query, instance, hall, batch, is_hedge, len(batch), now
@@ -235,17 +235,17 @@
         query.frames.add(number)
         peer = self._peer(instance)
         if not peer.outstanding:
-            peer.heard_at = now
+            peer.progress_at = now
         peer.outstanding += len(batch)
         for index, shard in enumerate(shards):
-            self._note_sent(query, shard, number, index, is_hedge)
+            self._record_sent(query, shard, number, index, is_hedge)
         request = self._make_request(query, number, hall, instance, shards)
         if not self._gatherers.send(instance, request):
-            found = verdict.not_run(verdict.Reason.UNREACHABLE, f"no link to {instance}")
-            self._fail_frame(number, found)
+            result = verdict.not_run(verdict.Reason.UNREACHABLE, f"no link to {instance}")
+            self._fail_frame(number, result)
             return
-        if query.is_repeatable and not query.is_over:
-            self._watch(query, number, is_hedge)
+        if query.is_repeatable and not query.is_finished:
+            self._start_timers(query, number, is_hedge)
 
     def _make_request(
         self,
@@ -268,11 +268,11 @@
             is_repeatable=query.is_repeatable,
             needs_snapshot=query.needs_snapshot,
             group=query.group.name,
-            hedge_budget=self._state_of(query).hedge_budget,
+            hedge_budget=self._get_group_state(query).hedge_budget,
             network_delay=2 * delay,
         )
 
-    def _note_sent(
+    def _record_sent(
         self, query: queries.Query, shard: queries.Shard, number: int, index: int, is_hedge: bool
     ) -> None:
         frame = self._frames[number]
@@ -288,49 +288,51 @@
         event = "hedge" if is_hedge else "send"
         self._trace(query, shard.shard, event, f"{frame.instance} in {frame.hall}")
 
-    def _watch(self, query: queries.Query, number: int, is_hedge: bool) -> None:
+    def _start_timers(self, query: queries.Query, number: int, is_hedge: bool) -> None:
         """Set the timers that look at a frame's slow sub-queries."""
         frame = self._frames[number]
         if not is_hedge:
             self._check_hedge(query, frame)
-        if self._tuning.avoids_silent and frame.instance != self._name:
-            query.timers.append(self._clock.callLater(SILENCE, self._check_silence, number))
+        if self._tuning.avoids_unresponsive and frame.instance != self._name:
+            query.timers.append(
+                self._clock.callLater(UNRESPONSIVE_AFTER, self._check_unresponsive, number)
+            )
 
-    def _check_silence(self, number: int) -> None:
+    def _check_unresponsive(self, number: int) -> None:
         """Send a silent gatherer's sub-queries elsewhere, without giving the first ones up."""
         frame = self._frames.get(number)
-        if frame is None or frame.query.is_over or not self._is_silent(frame.instance):
+        if frame is None or frame.query.is_finished or not self._is_unresponsive(frame.instance):
             return
         query = frame.query
         waiting = [p for p in frame.positions if not query.shards[p].is_done]
-        state = self._state_of(query)
-        again = [p for p in waiting if self._has_other_path(query, query.shards[p])]
-        again = [position for position in again if state.retries.spend()]
-        self._counters.resent += len(again)
-        self.send(query, again)
+        state = self._get_group_state(query)
+        resendable = [p for p in waiting if self._has_untried_owner(query, query.shards[p])]
+        resendable = [position for position in resendable if state.retries.spend()]
+        self._counters.resent += len(resendable)
+        self.send(query, resendable)
 
-    def _has_other_path(self, query: queries.Query, shard: queries.Shard) -> bool:
+    def _has_untried_owner(self, query: queries.Query, shard: queries.Shard) -> bool:
         snapshot = query.snapshot if query.needs_snapshot else None
         owners = {
             name
             for path in self._view.paths(shard.service, snapshot)
             for name in path.owners
-            if not self._is_silent(name)
+            if not self._is_unresponsive(name)
         }
         return not owners <= shard.tried_owners
 
     def _check_hedge(self, query: queries.Query, frame: queries.Frame) -> None:
         """Ask the hedge rule about a frame, act on it, and set the next check."""
-        if query.is_over:
+        if query.is_finished:
             return
-        waiting = [p for p in frame.positions if _is_hedged_here(query.shards[p])]
+        waiting = [p for p in frame.positions if _is_hedged_by_front(query.shards[p])]
         if not waiting:
             return
-        state = self._state_of(query)
+        state = self._get_group_state(query)
         elapsed = self._clock.seconds() - frame.sent_at
-        fill = state.hedges.tokens / queries.HEDGE_BURST
-        progress = hedging.Progress(elapsed, query.outstanding, len(query.shards), fill)
-        latencies = state.path_latencies(frame.hall)
+        budget_fill = state.hedges.tokens / queries.HEDGE_BURST
+        progress = hedging.Progress(elapsed, query.outstanding, len(query.shards), budget_fill)
+        latencies = state.hall_latencies(frame.hall)
         advice = self._tuning.hedge(progress, latencies, state.hedge_budget)
         if advice.should_hedge:
             for position in waiting:
@@ -347,27 +349,27 @@
         self._counters.hedges += 1
         self.send(query, [position], is_hedge=True)
 
-    def _fail_frame(self, number: int, found: verdict.Verdict) -> None:
+    def _fail_frame(self, number: int, result: verdict.Verdict) -> None:
         """Settle all of a frame's sub-queries with one verdict."""
         frame = self._frames.get(number)
         if frame is None:
             return
         for index in range(len(frame.positions)):
-            failed = messages.ShardReply(number, index, found, None, b"", 0.0, "", 0)
+            failed = messages.ShardReply(number, index, result, None, b"", 0.0, "", 0)
             self.on_reply(frame.instance, failed)
 
     def _settle(self, number: int, frame: queries.Frame, shard: queries.Shard) -> None:
         """Count one sub-query of a frame as settled, and forget the frame after its last."""
-        frame.open -= 1
+        frame.outstanding -= 1
         self._peers[frame.instance].outstanding -= 1
         load = self._loads[shard.service.name].get(frame.hall)
         if load is not None:
             load.outstanding -= 1
-        if not frame.open:
+        if not frame.outstanding:
             del self._frames[number]
             frame.query.frames.discard(number)
 
-    def _learn(
+    def _update_estimates(
         self,
         query: queries.Query,
         frame: queries.Frame,
@@ -379,13 +381,13 @@
         if load is not None:
             load.on_reply(now, reply.waited)
         if reply.verdict.is_ok and not frame.is_hedge:
-            state = self._state_of(query)
+            state = self._get_group_state(query)
             seconds = now - frame.sent_at
-            state.path_latencies(frame.hall).record(seconds)
+            state.hall_latencies(frame.hall).record(seconds)
             state.service_time.record(seconds - reply.waited)
 
 
-def _is_hedged_here(shard: queries.Shard) -> bool:
+def _is_hedged_by_front(shard: queries.Shard) -> bool:
     """Say whether the front hedges a sub-query, in another hall, and not its gatherer."""
     if shard.is_done:
         return False
--- a/src/lineworks/engine/front.py
+++ b/src/lineworks/engine/front.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from lineworks.decisions import catalog, coverage, deadlines, selectors, snapshots, verdict
-from lineworks.engine import dispatcher, front_state, judgements
+from lineworks.engine import answers, dispatcher, front_state
 from lineworks.engine import query as queries
 
 if TYPE_CHECKING:
@@ -16,10 +16,10 @@
 
     from lineworks.engine import messages, ports, requests, views
 
-TAKE_OVER = 1.0
+OWNERSHIP_CHANGE_WINDOW = 1.0
 """Seconds after a change of members in which new owners may not have heard from targets yet."""
 
-TAKE_OVER_PAUSE = 0.05
+OWNER_RETRY_DELAY = 0.05
 """Seconds after which a sub-query that no owner can take is tried again in that time."""
 
 
@@ -52,9 +52,9 @@
         self._view = view
         self._tuning = tuning or front_state.Tuning()
         self._on_trace = on_trace
-        self._numbers = itertools.count(1)
+        self._query_numbers = itertools.count(1)
         self._groups: dict[str, queries.GroupState] = {}
-        self._open: dict[str, queries.Query] = {}
+        self._active: dict[str, queries.Query] = {}
         self._members_changed_at = float("-inf")
         self.counters = front_state.Counters()
         self._dispatcher = dispatcher.Dispatcher(
@@ -65,15 +65,15 @@
             view,
             self._tuning,
             self.counters,
-            self._state,
-            self._take,
+            self._group_state,
+            self._on_shard_reply,
             self._trace,
         )
 
     @property
     def is_idle(self) -> bool:
         """Whether no query is waiting or under way."""
-        return not self._open
+        return not self._active
 
     @property
     def groups(self) -> Mapping[str, queries.GroupState]:
@@ -107,10 +107,10 @@
             min_coverage=request.min_coverage,
             is_repeatable=True,
             needs_snapshot=True,
-            wanted_shard=None,
+            only_shard=None,
             on_answer=on_answer,
         )
-        return self._submit(query, judgements.search_problem(config, match, group))
+        return self._submit(query, answers.check_search(config, match, group))
 
     def run(
         self, request: requests.RunRequest, on_answer: Callable[[requests.Answer], None]
@@ -139,10 +139,10 @@
             min_coverage=None,
             is_repeatable=request.is_repeatable,
             needs_snapshot=False,
-            wanted_shard=request.shard,
+            only_shard=request.shard,
             on_answer=on_answer,
         )
-        return self._submit(query, judgements.run_problem(config, is_known, request.service))
+        return self._submit(query, answers.check_run(config, is_known, request.service))
 
     def on_reply(self, instance: str, reply: messages.ShardReply) -> None:
         """Take in the outcome of a sub-query.
@@ -166,25 +166,25 @@
         self._members_changed_at = self._clock.seconds()
 
     def _next_id(self) -> str:
-        return f"{self._name}-{next(self._numbers)}"
+        return f"{self._name}-{next(self._query_numbers)}"
 
     def _submit(self, query: queries.Query, problem: verdict.Verdict | None) -> Callable[[], None]:
         """Start a query, let it wait, or refuse it."""
         now = self._clock.seconds()
         self.counters.queries += 1
-        self._open[query.id] = query
+        self._active[query.id] = query
         if problem is not None:
             self._refuse(query, problem)
-            return _nothing
+            return _no_op
         self._set_timer(query, query.deadline - now, self._on_deadline)
-        if not self._tuning.is_admitting:
+        if not self._tuning.uses_admission:
             self._start(query)
             return functools.partial(self._cancel, query)
         weight = self._view.class_weight(query.caller_class)
-        waiting = self._state(query).admission
-        admitted = waiting.offer(query, query.caller_class, weight, now, query.deadline)
+        admission = self._group_state(query).admission
+        admitted = admission.offer(query, query.caller_class, weight, now, query.deadline)
         if admitted is None:
-            self._trace(query, "", "queue", f"{waiting.waiting} waiting")
+            self._trace(query, "", "queue", f"{admission.waiting} waiting")
         elif admitted.is_ok:
             self._start(query)
         else:
@@ -196,7 +196,7 @@
     ) -> None:
         query.timers.append(self._clock.callLater(max(0.0, delay), call, query))
 
-    def _state(self, query: queries.Query) -> queries.GroupState:
+    def _group_state(self, query: queries.Query) -> queries.GroupState:
         name = query.group.name
         state = self._groups.get(name)
         if state is None:
@@ -219,17 +219,17 @@
     def _plan(self, query: queries.Query, excluded: catalog.Snapshot | None) -> bool:
         layout = catalog.BASE_LAYOUT
         if query.needs_snapshot:
-            pin = snapshots.pin(query.group, self._view.held, excluded)
+            pin = snapshots.pin(query.group, self._view.held_snapshots, excluded)
             if pin.snapshot is None:
-                found = verdict.not_run(verdict.Reason.NO_SNAPSHOT, "no replica holds a snapshot")
-                self._finish(query, found)
+                result = verdict.not_run(verdict.Reason.NO_SNAPSHOT, "no replica holds a snapshot")
+                self._finish(query, result)
                 return False
             query.snapshot = pin.snapshot
             layout = pin.snapshot.layout
         planned = [
             queries.Shard(service, shard)
             for service, shard in query.group.shards(layout)
-            if query.wanted_shard in (None, shard)
+            if query.only_shard in (None, shard)
         ]
         if not query.needs_snapshot and len(planned) != 1:
             detail = "name one of the service's shards"
@@ -237,7 +237,7 @@
             return False
         query.shards = planned
         query.outstanding = len(planned)
-        state = self._state(query)
+        state = self._group_state(query)
         state.hedges.earn(state.hedge_budget * len(planned))
         state.retries.earn(state.retry_budget * len(planned))
         self.counters.sub_queries += len(planned)
@@ -246,173 +246,181 @@
 
     def _send(self, query: queries.Query, positions: list[int]) -> None:
         for shard in self._dispatcher.send(query, positions):
-            if query.is_over or shard not in query.shards:
+            if query.is_finished or shard not in query.shards:
                 return
             if shard.is_done or shard.pending:
                 continue
             if self._may_wait_for_owner(query):
                 self._trace(query, shard.shard, "wait", "for a new owner")
-                self._set_timer(query, TAKE_OVER_PAUSE, functools.partial(self._resend, shard))
+                self._set_timer(query, OWNER_RETRY_DELAY, functools.partial(self._resend, shard))
             else:
-                self._fail(query, shard, judgements.why_unreachable(self._view, query, shard))
+                self._fail_shard(
+                    query, shard, answers.unreachable_verdict(self._view, query, shard)
+                )
 
     def _may_wait_for_owner(self, query: queries.Query) -> bool:
         now = self._clock.seconds()
-        is_changing = now - self._members_changed_at < TAKE_OVER
-        return is_changing and now + 2 * TAKE_OVER_PAUSE < query.deadline
+        is_changing = now - self._members_changed_at < OWNERSHIP_CHANGE_WINDOW
+        return is_changing and now + 2 * OWNER_RETRY_DELAY < query.deadline
 
     def _resend(self, shard: queries.Shard, query: queries.Query) -> None:
-        if query.is_over or shard not in query.shards or shard.is_done or shard.pending:
+        if query.is_finished or shard not in query.shards or shard.is_done or shard.pending:
             return
         self._send(query, [query.shards.index(shard)])
 
-    def _take(self, query: queries.Query, shard: queries.Shard, reply: messages.ShardReply) -> None:
+    def _on_shard_reply(
+        self, query: queries.Query, shard: queries.Shard, reply: messages.ShardReply
+    ) -> None:
         """Use a reply that is still wanted: merge it, or send the sub-query elsewhere."""
-        found = reply.verdict
-        if found.is_ok and query.needs_snapshot and reply.snapshot != query.snapshot:
+        result = reply.verdict
+        if result.is_ok and query.needs_snapshot and reply.snapshot != query.snapshot:
             self.counters.wrong_snapshot += 1
-            found = verdict.ran(verdict.Reason.SNAPSHOT_GONE, f"replied from {reply.snapshot}")
-        self._trace(query, shard.shard, "reply", f"{found.certainty.value} {found.reason.value}")
+            result = verdict.ran(verdict.Reason.SNAPSHOT_GONE, f"replied from {reply.snapshot}")
+        self._trace(query, shard.shard, "reply", f"{result.certainty.value} {result.reason.value}")
         shard.waited = reply.waited
-        if found.is_ok:
+        if result.is_ok:
             shard.body = reply.body
-            self._conclude(query, shard, found)
+            self._complete_shard(query, shard, result)
             return
-        shard.verdict = judgements.worse(shard.verdict, found)
+        shard.verdict = answers.combine_failures(shard.verdict, result)
         if shard.pending:
             return
-        if self._may_retry(query, found):
+        if self._may_retry(query, result):
             self.counters.retries += 1
             self._send(query, [query.shards.index(shard)])
         else:
-            self._fail(query, shard, found)
+            self._fail_shard(query, shard, result)
 
-    def _may_retry(self, query: queries.Query, found: verdict.Verdict) -> bool:
-        if not found.is_not_run and not query.is_repeatable:
+    def _may_retry(self, query: queries.Query, result: verdict.Verdict) -> bool:
+        if not result.is_not_run and not query.is_repeatable:
             return False
         if self._clock.seconds() + deadlines.HOP_MARGIN >= query.deadline:
             return False
-        return self._state(query).retries.spend()
+        return self._group_state(query).retries.spend()
 
-    def _fail(self, query: queries.Query, shard: queries.Shard, found: verdict.Verdict) -> None:
+    def _fail_shard(
+        self, query: queries.Query, shard: queries.Shard, result: verdict.Verdict
+    ) -> None:
         """Deal with a sub-query that nothing is left to try for."""
-        is_gone = found.reason is verdict.Reason.SNAPSHOT_GONE
-        if is_gone and query.is_repeatable and self._has_other_snapshot(query):
+        is_snapshot_gone = result.reason is verdict.Reason.SNAPSHOT_GONE
+        if is_snapshot_gone and query.is_repeatable and self._has_other_snapshot(query):
             self._restart(query)
         else:
-            self._conclude(query, shard, judgements.worse(shard.verdict, found))
+            self._complete_shard(query, shard, answers.combine_failures(shard.verdict, result))
 
     def _has_other_snapshot(self, query: queries.Query) -> bool:
         """Say whether a restart would find a whole snapshot; it may happen once."""
         if query.has_restarted:
             return False
-        return snapshots.pin(query.group, self._view.held, query.snapshot).is_whole
+        return snapshots.pin(query.group, self._view.held_snapshots, query.snapshot).is_whole
 
     def _restart(self, query: queries.Query) -> None:
         """Start the whole query again on another snapshot, once."""
-        gone = query.snapshot
+        old_snapshot = query.snapshot
         self._dispatcher.cancel_query(query)
         query.has_restarted = True
         self.counters.restarts += 1
-        self._trace(query, "", "restart", f"{gone} is gone")
-        if self._plan(query, excluded=gone):
+        self._trace(query, "", "restart", f"{old_snapshot} is gone")
+        if self._plan(query, excluded=old_snapshot):
             self._send(query, list(range(len(query.shards))))
 
-    def _conclude(self, query: queries.Query, shard: queries.Shard, found: verdict.Verdict) -> None:
+    def _complete_shard(
+        self, query: queries.Query, shard: queries.Shard, result: verdict.Verdict
+    ) -> None:
         """Settle a sub-query, cancel what else is under way for it, and perhaps answer."""
-        if query.is_over or shard.is_done:
+        if query.is_finished or shard.is_done:
             return
         shard.is_done = True
-        shard.verdict = found
+        shard.verdict = result
         query.outstanding -= 1
         self._dispatcher.cancel_shard(shard)
-        is_hopeless = not found.is_ok and not query.policy.allows_partial
-        if not query.outstanding or is_hopeless:
+        cannot_succeed = not result.is_ok and not query.policy.allows_partial
+        if not query.outstanding or cannot_succeed:
             self._finish(query, None)
 
     def _on_target_latency(self, query: queries.Query) -> None:
         """Answer in part when the wanted latency has passed and enough shards replied."""
-        if query.is_over:
+        if query.is_finished:
             return
-        done = sum(1 for shard in query.shards if shard.is_done)
-        wanted = max(query.policy.min_coverage, query.min_coverage or 0.0)
-        if done and done >= wanted * len(query.shards):
-            self._mark_late(query, "no reply within the wanted latency")
+        completed = sum(1 for shard in query.shards if shard.is_done)
+        required = max(query.policy.min_coverage, query.min_coverage or 0.0)
+        if completed and completed >= required * len(query.shards):
+            self._mark_timed_out(query, "no reply within the wanted latency")
             self._finish(query, None)
 
     def _on_deadline(self, query: queries.Query) -> None:
-        if query.is_over:
+        if query.is_finished:
             return
         if not query.is_started:
-            self._state(query).admission.remove(query)
+            self._group_state(query).admission.remove(query)
             self._refuse(query, verdict.not_run(verdict.Reason.OVERLOADED, "waited too long"))
             return
-        self._mark_late(query, "no reply in time")
+        self._mark_timed_out(query, "no reply in time")
         self._finish(query, None)
 
-    def _mark_late(self, query: queries.Query, detail: str) -> None:
-        late = verdict.may_have_run(verdict.Reason.DEADLINE, detail)
+    def _mark_timed_out(self, query: queries.Query, detail: str) -> None:
+        timed_out = verdict.may_have_run(verdict.Reason.DEADLINE, detail)
         for shard in query.shards:
             if not shard.is_done:
-                shard.verdict = judgements.worse(shard.verdict, late)
+                shard.verdict = answers.combine_failures(shard.verdict, timed_out)
 
     def _finish(self, query: queries.Query, problem: verdict.Verdict | None) -> None:
         """Answer the caller and release everything that the query holds."""
-        query.is_over = True
-        reached = judgements.reached(query)
-        found = problem or coverage.judge(reached, query.policy, query.min_coverage)
+        query.is_finished = True
+        shard_coverage = answers.compute_coverage(query)
+        result = problem or coverage.judge(shard_coverage, query.policy, query.min_coverage)
         bodies = {
             shard.shard: shard.body
             for shard in query.shards
             if shard.verdict is not None and shard.verdict.is_ok
         }
         self._release(query)
-        self._answer(query, found, reached, bodies if found.is_ok else {})
+        self._answer(query, result, shard_coverage, bodies if result.is_ok else {})
 
     def _release(self, query: queries.Query) -> None:
         self._dispatcher.cancel_query(query)
-        self._forget(query)
-        if query.is_started and self._tuning.is_admitting:
-            state = self._state(query)
+        self._deregister(query)
+        if query.is_started and self._tuning.uses_admission:
+            state = self._group_state(query)
             now = self._clock.seconds()
             latency = now - query.started_at
             state.admission.finish(now, latency, queries.wait_signal(query))
-            while (following := state.admission.take(now)) is not None:
-                self._start(following)
+            while (next_query := state.admission.take(now)) is not None:
+                self._start(next_query)
 
-    def _forget(self, query: queries.Query) -> None:
+    def _deregister(self, query: queries.Query) -> None:
         for timer in query.timers:
             if timer.active():
                 timer.cancel()
-        self._open.pop(query.id, None)
+        self._active.pop(query.id, None)
 
-    def _refuse(self, query: queries.Query, found: verdict.Verdict) -> None:
-        query.is_over = True
+    def _refuse(self, query: queries.Query, result: verdict.Verdict) -> None:
+        query.is_finished = True
         self.counters.refused += 1
-        self._forget(query)
-        self._answer(query, found, coverage.Coverage((), {}), {})
+        self._deregister(query)
+        self._answer(query, result, coverage.Coverage((), {}), {})
 
     def _answer(
         self,
         query: queries.Query,
-        found: verdict.Verdict,
-        reached: coverage.Coverage,
+        result: verdict.Verdict,
+        shard_coverage: coverage.Coverage,
         bodies: Mapping[str, bytes],
     ) -> None:
-        self._trace(query, "", "answer", f"{found.certainty.value} {found.reason.value}")
-        query.on_answer(judgements.answer(query, found, reached, bodies))
+        self._trace(query, "", "answer", f"{result.certainty.value} {result.reason.value}")
+        query.on_answer(answers.build_answer(query, result, shard_coverage, bodies))
 
     def _cancel(self, query: queries.Query) -> None:
         """Give a query up because its caller has gone."""
-        if query.is_over or (query.is_started and not query.is_repeatable):
+        if query.is_finished or (query.is_started and not query.is_repeatable):
             return
-        query.is_over = True
-        query.on_answer = _drop
+        query.is_finished = True
+        query.on_answer = _discard_answer
         if query.is_started:
             self._trace(query, "", "cancel", "the caller has gone")
             self._release(query)
             return
-        self._state(query).admission.remove(query)
+        self._group_state(query).admission.remove(query)
         self._refuse(query, verdict.not_run(verdict.Reason.CANCELLED))
 
     def _trace(self, query: queries.Query, shard: str, event: str, detail: str) -> None:
@@ -420,10 +428,10 @@
             self._on_trace(query.id, shard, event, detail)
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     """Cancel nothing, because the query is over."""
 
 
-def _drop(answer: requests.Answer) -> None:
+def _discard_answer(answer: requests.Answer) -> None:
     """Drop an answer that nobody waits for."""
     del answer
--- a/src/lineworks/engine/front_state.py
+++ b/src/lineworks/engine/front_state.py
@@ -14,16 +14,16 @@
     hedge: hedging.Rule = dataclasses.field(default_factory=hedging.make_progress_rule)
     """When sub-queries are hedged in another hall."""
 
-    is_admitting: bool = True
+    uses_admission: bool = True
     """Whether queries are limited and queued; otherwise all start at once."""
 
-    is_routing_by_load: bool = True
+    routes_by_load: bool = True
     """Whether halls are chosen by expected time; otherwise by chance."""
 
     hedge_budget: float | None = None
     """Overrides the policies' hedge budgets."""
 
-    avoids_silent: bool = True
+    avoids_unresponsive: bool = True
     """Whether gatherers that have fallen silent are passed over."""
 
 
--- a/src/lineworks/engine/gatherer.py
+++ b/src/lineworks/engine/gatherer.py
@@ -10,8 +10,7 @@
 from typing import TYPE_CHECKING
 
 from lineworks.decisions import deadlines, hedging, replicas, verdict
-from lineworks.engine import messages, ports
-from lineworks.engine import sub_query as state
+from lineworks.engine import messages, ports, sub_query
 
 if TYPE_CHECKING:
     import random
@@ -28,7 +27,7 @@
         clock: ports.Clock,
         rng: random.Random,
         targets: ports.TargetPort,
-        tuning: state.Tuning | None = None,
+        tuning: sub_query.Tuning | None = None,
         on_trace: Callable[[str, str, str, str], None] | None = None,
     ) -> None:
         """Start without targets.
@@ -43,14 +42,14 @@
         self._clock = clock
         self._rng = rng
         self._targets = targets
-        self._tuning = tuning or state.Tuning()
+        self._tuning = tuning or sub_query.Tuning()
         self._on_trace = on_trace
-        self._pools: dict[str, state.Pool] = {}
-        self._by_target: dict[str, replicas.Replica] = {}
-        self._groups: dict[str, state.Group] = {}
-        self._frames: dict[tuple[str, int], state.Frame] = {}
-        self.counters = state.Counters()
-        self.on_holdings: Callable[[], None] = lambda: None
+        self._pools: dict[str, sub_query.ReplicaPool] = {}
+        self._replicas: dict[str, replicas.Replica] = {}
+        self._groups: dict[str, sub_query.GroupState] = {}
+        self._frames: dict[tuple[str, int], sub_query.Frame] = {}
+        self.counters = sub_query.Counters()
+        self.on_holdings_changed: Callable[[], None] = lambda: None
 
     @property
     def is_idle(self) -> bool:
@@ -58,29 +57,29 @@
         return not self._frames
 
     @property
-    def owned(self) -> Iterable[replicas.Replica]:
+    def owned_replicas(self) -> Iterable[replicas.Replica]:
         """The views of all targets that this instance owns."""
-        return self._by_target.values()
+        return self._replicas.values()
 
-    def set_targets(self, owned: Iterable[catalog.Target]) -> None:
+    def set_targets(self, targets: Iterable[catalog.Target]) -> None:
         """Replace the set of owned targets; work under way goes on.
 
         Args:
-            owned: The targets that this instance owns now.
+            targets: The targets that this instance owns now.
         """
-        now_owned = {target.name: target for target in owned}
-        for name in list(self._by_target):
-            if name not in now_owned:
-                replica = self._by_target.pop(name)
+        owned_targets = {target.name: target for target in targets}
+        for name in list(self._replicas):
+            if name not in owned_targets:
+                replica = self._replicas.pop(name)
                 self._pools[replica.target.service].replicas.remove(replica)
-        for name, target in now_owned.items():
-            if name not in self._by_target:
-                self._by_target[name] = replicas.make_replica(target)
-                self._pool(target.service).replicas.append(self._by_target[name])
-            replica = self._by_target[name]
+        for name, target in owned_targets.items():
+            if name not in self._replicas:
+                self._replicas[name] = replicas.make_replica(target)
+                self._pool(target.service).replicas.append(self._replicas[name])
+            replica = self._replicas[name]
             replica.target = target
             replica.is_leaving = replica.is_leaving or target.is_leaving
-        self.on_holdings()
+        self.on_holdings_changed()
 
     def holdings(self) -> dict[str, frozenset[catalog.Snapshot]]:
         """Tell what can be served from the owned targets.
@@ -90,8 +89,8 @@
         """
         held: dict[str, frozenset[catalog.Snapshot]] = {}
         for service, pool in self._pools.items():
-            able = [replica.holds for replica in pool.replicas if not replica.is_leaving]
-            held[service] = frozenset().union(*able)
+            usable = [replica.holds for replica in pool.replicas if not replica.is_leaving]
+            held[service] = frozenset().union(*usable)
         return held
 
     def on_report(self, target: str, report: replicas.Report) -> None:
@@ -101,13 +100,13 @@
             target: Name of the target.
             report: The report.
         """
-        replica = self._by_target.get(target)
+        replica = self._replicas.get(target)
         if replica is None:
             return
         before = (replica.holds, replica.is_leaving)
         replica.on_report(self._clock.seconds(), report)
         if before != (replica.holds, replica.is_leaving):
-            self.on_holdings()
+            self.on_holdings_changed()
 
     def on_leaving(self, target: str) -> None:
         """Note that a target is leaving; this holds for its whole incarnation.
@@ -115,10 +114,10 @@
         Args:
             target: Name of the target.
         """
-        replica = self._by_target.get(target)
+        replica = self._replicas.get(target)
         if replica is not None and not replica.is_leaving:
             replica.is_leaving = True
-            self.on_holdings()
+            self.on_holdings_changed()
 
     def on_sub_queries(
         self,
@@ -135,20 +134,20 @@
         """
         now = self._clock.seconds()
         key = (origin, request.frame)
-        subs = [
-            state.SubQuery(origin, request, index, reply, now)
+        sub_queries = [
+            sub_query.SubQuery(origin, request, index, reply, now)
             for index in range(len(request.services))
         ]
         delay = max(0.0, request.deadline - now)
         timer = self._clock.callLater(delay, self._on_deadline, key)
-        self._frames[key] = state.Frame(subs, len(subs), timer)
-        for sub in subs:
-            self._pool(sub.service).retries.earn(state.RETRY_SHARE)
-            self._place(sub)
+        self._frames[key] = sub_query.Frame(sub_queries, len(sub_queries), timer)
+        for sub in sub_queries:
+            self._pool(sub.service).retries.earn(sub_query.RETRY_RATIO)
+            self._schedule(sub)
         if request.is_repeatable:
             group = self._group(request.group)
             group.hedge_budget = request.hedge_budget
-            group.hedges.earn(request.hedge_budget * len(subs))
+            group.hedges.earn(request.hedge_budget * len(sub_queries))
             self._check_hedges(key)
 
     def on_cancel(self, origin: str, cancel: messages.Cancel) -> None:
@@ -161,10 +160,10 @@
         frame = self._frames.get((origin, cancel.frame))
         if frame is None:
             return
-        wanted = cancel.indices or range(len(frame.subs))
+        wanted = cancel.indices or range(len(frame.sub_queries))
         for index in wanted:
-            if 0 <= index < len(frame.subs):
-                self._abandon(frame.subs[index])
+            if 0 <= index < len(frame.sub_queries):
+                self._end_sub_query(frame.sub_queries[index])
 
     def on_origin_lost(self, origin: str) -> None:
         """Give up everything repeatable that a front asked for, because its link is gone.
@@ -173,7 +172,7 @@
             origin: Incarnation of the front.
         """
         for key in [key for key in self._frames if key[0] == origin]:
-            if self._frames[key].subs[0].request.is_repeatable:
+            if self._frames[key].sub_queries[0].request.is_repeatable:
                 self.on_cancel(origin, messages.Cancel(key[1]))
 
     def _check_hedges(self, key: tuple[str, int]) -> None:
@@ -182,7 +181,7 @@
         if frame is None:
             return
         next_check: float | None = None
-        for sub in frame.subs:
+        for sub in frame.sub_queries:
             if sub.is_done or sub.is_hedged:
                 continue
             check_in = self._check_hedge(sub, frame)
@@ -192,77 +191,79 @@
             delay = max(next_check, hedging.LEAST_CHECK)
             frame.hedge_timer = self._clock.callLater(delay, self._check_hedges, key)
 
-    def _check_hedge(self, sub: state.SubQuery, frame: state.Frame) -> float | None:
+    def _check_hedge(self, sub: sub_query.SubQuery, frame: sub_query.Frame) -> float | None:
         """Hedge a sub-query if it is time, and say in how many seconds to look again."""
         group = self._group(sub.request.group)
         elapsed = self._elapsed(sub)
-        fill = group.hedges.tokens / state.HEDGE_BURST
-        progress = hedging.Progress(elapsed, frame.open, len(frame.subs), fill)
+        budget_fill = group.hedges.tokens / sub_query.HEDGE_BURST
+        progress = hedging.Progress(elapsed, frame.outstanding, len(frame.sub_queries), budget_fill)
         advice = self._tuning.hedge(progress, group.latencies, group.hedge_budget)
         if advice.should_hedge and sub.running:
             self._hedge(sub, group)
         return None if sub.is_hedged else advice.check_in
 
-    def _elapsed(self, sub: state.SubQuery) -> float:
+    def _elapsed(self, sub: sub_query.SubQuery) -> float:
         """Tell how long a sub-query holds up its query, network both ways included."""
         return self._clock.seconds() - sub.arrived + sub.request.network_delay
 
-    def _hedge(self, sub: state.SubQuery, group: state.Group) -> None:
-        able = self._able(sub)
-        if not able:
+    def _hedge(self, sub: sub_query.SubQuery, group: sub_query.GroupState) -> None:
+        usable = self._usable_replicas(sub)
+        if not usable:
             sub.is_hedged = True
             return
-        replica = self._pick(able)
+        replica = self._choose_replica(usable)
         if replica is None or not group.hedges.spend():
             return
         sub.is_hedged = True
         self.counters.hedges += 1
         self._start(sub, replica, "hedge")
 
-    def _group(self, name: str) -> state.Group:
+    def _group(self, name: str) -> sub_query.GroupState:
         group = self._groups.get(name)
         if group is None:
-            group = self._groups[name] = state.Group()
+            group = self._groups[name] = sub_query.GroupState()
         return group
 
-    def _pool(self, service: str) -> state.Pool:
+    def _pool(self, service: str) -> sub_query.ReplicaPool:
         pool = self._pools.get(service)
         if pool is None:
-            pool = self._pools[service] = state.Pool()
+            pool = self._pools[service] = sub_query.ReplicaPool()
         return pool
 
-    def _able(self, sub: state.SubQuery) -> list[replicas.Replica]:
+    def _usable_replicas(self, sub: sub_query.SubQuery) -> list[replicas.Replica]:
         """List the replicas that may still serve a sub-query, with or without room."""
         pool = self._pool(sub.service)
         request = sub.request
         snapshot = request.snapshot if request.needs_snapshot else None
-        patience = pool.patience if self._tuning.ejects_stalled else None
-        able = replicas.usable(pool.replicas, snapshot, self._clock.seconds(), patience)
-        return [replica for replica in able if replica.target.name not in sub.tried]
+        stall_timeout = pool.stall_timeout if self._tuning.ejects_stalled else None
+        usable = replicas.usable(pool.replicas, snapshot, self._clock.seconds(), stall_timeout)
+        return [replica for replica in usable if replica.target.name not in sub.tried]
 
-    def _pick(self, able: list[replicas.Replica]) -> replicas.Replica | None:
+    def _choose_replica(self, usable: list[replicas.Replica]) -> replicas.Replica | None:
         """Choose among able replicas the one to start at, or None when none has room."""
-        if self._tuning.is_bounded:
-            able = [replica for replica in able if replica.in_flight < replica.limit.value]
-        if not able:
+        if self._tuning.limits_concurrency:
+            usable = [replica for replica in usable if replica.in_flight < replica.limit.value]
+        if not usable:
             return None
-        return self._tuning.choose(able, self._clock.seconds(), self._rng)
+        return self._tuning.choose(usable, self._clock.seconds(), self._rng)
 
-    def _place(self, sub: state.SubQuery) -> None:
+    def _schedule(self, sub: sub_query.SubQuery) -> None:
         """Start a sub-query's next attempt, or let it wait, or give it up."""
-        able = self._able(sub)
-        replica = self._pick(able)
+        usable = self._usable_replicas(sub)
+        replica = self._choose_replica(usable)
         if replica is not None:
             self._start(sub, replica, "retry" if sub.attempts else "attempt")
             return
-        if able:
+        if usable:
             sub.is_waiting = True
             self._pool(sub.service).waiting.append(sub)
             self._trace(sub, "wait", "no replica has room")
             return
-        self._finish(sub, sub.last or state.why_none(sub, self._pool(sub.service)))
+        self._finish(
+            sub, sub.failure or sub_query.unavailable_verdict(sub, self._pool(sub.service))
+        )
 
-    def _start(self, sub: state.SubQuery, replica: replicas.Replica, event: str) -> None:
+    def _start(self, sub: sub_query.SubQuery, replica: replicas.Replica, event: str) -> None:
         now = self._clock.seconds()
         request = sub.request
         if sub.attempts == 0:
@@ -271,7 +272,7 @@
         sub.attempts += 1
         sub.last_target = replica.target.name
         sub.tried.add(replica.target.name)
-        running = state.Running(replica, now)
+        running = sub_query.RunningAttempt(replica, now)
         sub.running[attempt_id] = running
         replica.on_started(now)
         self.counters.started += 1
@@ -287,70 +288,72 @@
             replica.target, attempt, functools.partial(self._on_outcome, sub, attempt_id)
         )
 
-    def _on_outcome(self, sub: state.SubQuery, attempt_id: str, outcome: ports.Outcome) -> None:
+    def _on_outcome(self, sub: sub_query.SubQuery, attempt_id: str, outcome: ports.Outcome) -> None:
         running = sub.running.pop(attempt_id)
         replica = running.replica
-        self._learn(sub, running, outcome)
+        self._update_replica(sub, running, outcome)
         if not sub.is_done:
-            self._judge(sub, outcome)
-        self._drain(self._pool(replica.target.service))
+            self._handle_outcome(sub, outcome)
+        self._dispatch_waiting(self._pool(replica.target.service))
 
-    def _learn(self, sub: state.SubQuery, running: state.Running, outcome: ports.Outcome) -> None:
+    def _update_replica(
+        self, sub: sub_query.SubQuery, running: sub_query.RunningAttempt, outcome: ports.Outcome
+    ) -> None:
         """Update the view of the target from how an attempt at it ended."""
         now = self._clock.seconds()
         replica = running.replica
         reason = outcome.verdict.reason
-        is_silent = reason in (verdict.Reason.UNREACHABLE, verdict.Reason.LINK_LOST)
-        replica.on_ended(now, is_progress=not is_silent)
+        is_unreachable = reason in (verdict.Reason.UNREACHABLE, verdict.Reason.LINK_LOST)
+        replica.on_ended(now, is_progress=not is_unreachable)
         if outcome.report is not None:
             self.on_report(replica.target.name, outcome.report)
         if outcome.verdict.is_ok:
             replica.limit.on_success()
             self._pool(sub.service).service_time.record(now - running.started)
-        elif is_silent or reason is verdict.Reason.CAPPED:
+        elif is_unreachable or reason is verdict.Reason.CAPPED:
             replica.on_unreachable(now, self._rng)
             replica.limit.on_refused()
         elif reason is verdict.Reason.OVERLOADED:
             replica.limit.on_refused()
-            replica.rest_until = now + state.SHED_REST
+            replica.rest_until = now + sub_query.SHED_BACKOFF
         elif reason is verdict.Reason.LEAVING:
             self.on_leaving(replica.target.name)
-        if state.is_wrong_snapshot(sub, outcome):
+        if sub_query.is_wrong_snapshot(sub, outcome):
             replica.on_snapshot_refused(now, sub.request.snapshot)
-            self.on_holdings()
+            self.on_holdings_changed()
         if outcome.verdict.is_not_run:
             self.counters.refused += 1
 
-    def _judge(self, sub: state.SubQuery, outcome: ports.Outcome) -> None:
+    def _handle_outcome(self, sub: sub_query.SubQuery, outcome: ports.Outcome) -> None:
         """Answer, retry or wait for another attempt, by how this one ended."""
-        found = outcome.verdict
-        if found.is_ok and state.is_wrong_snapshot(sub, outcome):
+        result = outcome.verdict
+        if result.is_ok and sub_query.is_wrong_snapshot(sub, outcome):
             self.counters.wrong_snapshot += 1
             detail = f"the target answered from {outcome.snapshot}"
-            found = verdict.ran(verdict.Reason.SNAPSHOT_GONE, detail)
-        self._trace(sub, "outcome", f"{found.certainty.value} {found.reason.value}")
-        if found.is_ok:
+            result = verdict.ran(verdict.Reason.SNAPSHOT_GONE, detail)
+        self._trace(sub, "outcome", f"{result.certainty.value} {result.reason.value}")
+        if result.is_ok:
             # From the arrival, so that a hedged sub-query counts as slow though its hedge was fast.
             self._group(sub.request.group).latencies.record(self._elapsed(sub))
-            self._finish(sub, found, outcome)
+            self._finish(sub, result, outcome)
             return
-        sub.last = found if sub.last is None or not found.is_not_run else sub.last
+        sub.failure = result if sub.failure is None or not result.is_not_run else sub.failure
         if sub.running:
             return
-        if self._may_retry(sub, found):
+        if self._may_retry(sub, result):
             self.counters.retries += 1
-            self._place(sub)
+            self._schedule(sub)
             return
-        self._finish(sub, sub.last)
+        self._finish(sub, sub.failure)
 
-    def _may_retry(self, sub: state.SubQuery, found: verdict.Verdict) -> bool:
-        if not found.is_not_run and not sub.request.is_repeatable:
+    def _may_retry(self, sub: sub_query.SubQuery, result: verdict.Verdict) -> bool:
+        if not result.is_not_run and not sub.request.is_repeatable:
             return False
         if self._clock.seconds() + deadlines.HOP_MARGIN >= sub.request.deadline:
             return False
         return self._pool(sub.service).retries.spend()
 
-    def _drain(self, pool: state.Pool) -> None:
+    def _dispatch_waiting(self, pool: sub_query.ReplicaPool) -> None:
         """Bind waiting sub-queries to replicas that have room now."""
         waiting = pool.waiting
         now = self._clock.seconds()
@@ -359,28 +362,30 @@
             if sub.is_done or now >= sub.request.deadline:
                 waiting.popleft()
                 continue
-            able = self._able(sub)
-            replica = self._pick(able)
-            if able and replica is None:
+            usable = self._usable_replicas(sub)
+            replica = self._choose_replica(usable)
+            if usable and replica is None:
                 return
             waiting.popleft()
             sub.is_waiting = False
             if replica is None:
-                self._finish(sub, sub.last or state.why_none(sub, self._pool(sub.service)))
+                self._finish(
+                    sub, sub.failure or sub_query.unavailable_verdict(sub, self._pool(sub.service))
+                )
             else:
                 self._start(sub, replica, "retry" if sub.attempts else "attempt")
 
     def _finish(
-        self, sub: state.SubQuery, found: verdict.Verdict, outcome: ports.Outcome | None = None
+        self, sub: sub_query.SubQuery, result: verdict.Verdict, outcome: ports.Outcome | None = None
     ) -> None:
-        self._abandon(sub)
+        self._end_sub_query(sub)
         request = sub.request
         waited = sub.waited if sub.attempts else self._clock.seconds() - sub.arrived
         sub.reply(
             messages.ShardReply(
                 request.frame,
                 sub.index,
-                found,
+                result,
                 outcome.snapshot if outcome else None,
                 outcome.body if outcome else b"",
                 waited,
@@ -389,52 +394,52 @@
             )
         )
 
-    def _abandon(self, sub: state.SubQuery) -> None:
+    def _end_sub_query(self, sub: sub_query.SubQuery) -> None:
         """End a sub-query and cancel the attempts at it that still run."""
         if sub.is_done:
             return
         sub.is_done = True
         sub.is_waiting = False
-        self._close((sub.origin, sub.request.frame))
+        self._settle((sub.origin, sub.request.frame))
         if not sub.running:
             return
         now = self._clock.seconds()
         pool = self._pool(sub.service)
-        slow = state.SLOW_FACTOR * pool.service_time.value
+        slow_threshold = sub_query.SLOW_FACTOR * pool.service_time.value
         for running in sub.running.values():
             if running.cancel is not None:
                 running.cancel()
             self.counters.cancelled += 1
             running.replica.on_ended(now, is_progress=False)
-            if slow and now - running.started > slow:
+            if slow_threshold and now - running.started > slow_threshold:
                 running.replica.on_lost_race(now)
         sub.running.clear()
         if pool.waiting:
-            self._clock.callLater(0, self._drain, pool)
+            self._clock.callLater(0, self._dispatch_waiting, pool)
 
     def _on_deadline(self, key: tuple[str, int]) -> None:
-        for sub in list(self._frames[key].subs):
+        for sub in list(self._frames[key].sub_queries):
             if sub.is_done:
                 continue
             if sub.running:
-                found = verdict.may_have_run(verdict.Reason.DEADLINE, "no outcome in time")
+                result = verdict.may_have_run(verdict.Reason.DEADLINE, "no outcome in time")
             else:
-                found = sub.last or verdict.not_run(
+                result = sub.failure or verdict.not_run(
                     verdict.Reason.OVERLOADED, "no replica had room in time"
                 )
-            self._finish(sub, found)
+            self._finish(sub, result)
 
-    def _close(self, key: tuple[str, int]) -> None:
+    def _settle(self, key: tuple[str, int]) -> None:
         """Count one sub-query of a frame as done, and forget the frame after its last."""
         frame = self._frames[key]
-        frame.open -= 1
-        if frame.open:
+        frame.outstanding -= 1
+        if frame.outstanding:
             return
         del self._frames[key]
         for timer in (frame.timer, frame.hedge_timer):
             if timer is not None and timer.active():
                 timer.cancel()
 
-    def _trace(self, sub: state.SubQuery, event: str, detail: str) -> None:
+    def _trace(self, sub: sub_query.SubQuery, event: str, detail: str) -> None:
         if self._on_trace is not None:
             self._on_trace(sub.request.query, sub.request.shards[sub.index], event, detail)
--- a/src/lineworks/engine/query.py
+++ b/src/lineworks/engine/query.py
@@ -19,7 +19,7 @@
 HEDGE_BURST = 20.0
 """Hedges that a group's budget holds at most."""
 
-HEDGE_START = 8.0
+INITIAL_HEDGE_TOKENS = 8.0
 """Hedges that a group's budget holds at first, so that many restarts add little load."""
 
 WAIT_SHARE = 0.25
@@ -86,7 +86,7 @@
     is_hedge: bool
     """Whether it repeats what another frame asked for."""
 
-    open: int
+    outstanding: int
     """Sub-queries not settled."""
 
     sent_at: float
@@ -127,7 +127,7 @@
     needs_snapshot: bool
     """Whether all replies must come from one snapshot."""
 
-    wanted_shard: str | None
+    only_shard: str | None
     """The only shard wanted, or None for all."""
 
     on_answer: Callable[[requests.Answer], None]
@@ -145,7 +145,7 @@
     is_started: bool = False
     """Whether it was admitted."""
 
-    is_over: bool = False
+    is_finished: bool = False
     """Whether it was answered or cancelled."""
 
     has_restarted: bool = False
@@ -182,13 +182,13 @@
             limit, policy.target_latency, on_expired
         )
         self.hedge_budget = hedge_budget
-        self.hedges = estimators.Budget(HEDGE_BURST, HEDGE_START)
+        self.hedges = estimators.Budget(HEDGE_BURST, INITIAL_HEDGE_TOKENS)
         self.retries = estimators.Budget(RETRY_BURST)
         self.retry_budget = policy.retry_budget
         self.service_time = estimators.Average(0.02)
         self._latencies: dict[str, estimators.Quantiles] = {}
 
-    def path_latencies(self, hall: str) -> estimators.Quantiles:
+    def hall_latencies(self, hall: str) -> estimators.Quantiles:
         """Tell how long sub-queries to a hall take.
 
         Args:
@@ -197,10 +197,10 @@
         Returns:
             Their latencies, as this front sees them.
         """
-        found = self._latencies.get(hall)
-        if found is None:
-            found = self._latencies[hall] = estimators.Quantiles()
-        return found
+        cached = self._latencies.get(hall)
+        if cached is None:
+            cached = self._latencies[hall] = estimators.Quantiles()
+        return cached
 
 
 def wait_signal(query: Query) -> float:
@@ -217,5 +217,5 @@
         return 0.0
     if not query.policy.allows_partial:
         return waits[-1]
-    spare = int(len(query.shards) * (1.0 - query.policy.min_coverage))
-    return waits[max(0, len(waits) - 1 - spare)]
+    optional = int(len(query.shards) * (1.0 - query.policy.min_coverage))
+    return waits[max(0, len(waits) - 1 - optional)]
--- a/src/lineworks/engine/sub_query.py
+++ b/src/lineworks/engine/sub_query.py
@@ -16,7 +16,7 @@
 STALL_FACTOR = 6.0
 """A replica without progress for this many usual service times counts as stalled."""
 
-STALL_FLOOR = 0.05
+MIN_STALL_TIMEOUT = 0.05
 """Seconds without progress that are never a stall."""
 
 SLOW_FACTOR = 2.0
@@ -25,16 +25,16 @@
 RETRY_BURST = 10.0
 """Retries that a service's budget holds at most."""
 
-RETRY_SHARE = 0.1
+RETRY_RATIO = 0.1
 """Retries earned for each sub-query."""
 
 HEDGE_BURST = 20.0
 """Hedges that a group's budget holds at most."""
 
-HEDGE_START = 8.0
+INITIAL_HEDGE_TOKENS = 8.0
 """Hedges that a group's budget holds at first, so that many restarts add little load."""
 
-SHED_REST = 0.02
+SHED_BACKOFF = 0.02
 """Seconds that a target is left alone after it shed a request."""
 
 
@@ -45,7 +45,7 @@
     choose: replicas.Choice = replicas.choose_least_loaded
     """Rule that picks among replicas with room."""
 
-    is_bounded: bool = True
+    limits_concurrency: bool = True
     """Whether attempts are limited for each target and sub-queries wait for room."""
 
     ejects_stalled: bool = True
@@ -103,7 +103,7 @@
     attempts: int = 0
     """Attempts handed to targets."""
 
-    running: dict[str, Running] = dataclasses.field(default_factory=dict)
+    running: dict[str, RunningAttempt] = dataclasses.field(default_factory=dict)
     """Attempts under way, by identity."""
 
     tried: set[str] = dataclasses.field(default_factory=set)
@@ -118,7 +118,7 @@
     is_done: bool = False
     """Whether its outcome is settled."""
 
-    last: verdict.Verdict | None = None
+    failure: verdict.Verdict | None = None
     """What is known from attempts that failed."""
 
     last_target: str = ""
@@ -134,10 +134,10 @@
 class Frame:
     """The sub-queries of one message that have no outcome yet, counted."""
 
-    subs: list[SubQuery]
+    sub_queries: list[SubQuery]
     """All of them."""
 
-    open: int
+    outstanding: int
     """How many are not settled."""
 
     timer: ports.Timer
@@ -148,7 +148,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Running:
+class RunningAttempt:
     """An attempt under way."""
 
     replica: replicas.Replica
@@ -161,7 +161,7 @@
     """Cancels it."""
 
 
-class Pool:
+class ReplicaPool:
     """The replicas of one service, with the sub-queries that wait for one."""
 
     def __init__(self) -> None:
@@ -171,21 +171,21 @@
         self.retries = estimators.Budget(RETRY_BURST)
 
     @property
-    def patience(self) -> float:
+    def stall_timeout(self) -> float:
         """Seconds without progress after which a replica counts as stalled."""
-        return max(STALL_FLOOR, STALL_FACTOR * self.service_time.value)
+        return max(MIN_STALL_TIMEOUT, STALL_FACTOR * self.service_time.value)
 
 
-class Group:
+class GroupState:
     """What a gatherer has learned about one group."""
 
     def __init__(self) -> None:
         self.latencies = estimators.Quantiles()
-        self.hedges = estimators.Budget(HEDGE_BURST, HEDGE_START)
+        self.hedges = estimators.Budget(HEDGE_BURST, INITIAL_HEDGE_TOKENS)
         self.hedge_budget = 0.0
 
 
-def why_none(sub: SubQuery, pool: Pool) -> verdict.Verdict:
+def unavailable_verdict(sub: SubQuery, pool: ReplicaPool) -> verdict.Verdict:
     """Say why no replica is left for a sub-query.
 
     Args:
@@ -195,13 +195,13 @@
     Returns:
         A verdict that it has not run.
     """
-    present = [replica for replica in pool.replicas if not replica.is_leaving]
+    available = [replica for replica in pool.replicas if not replica.is_leaving]
     if not pool.replicas:
         return verdict.not_run(verdict.Reason.NO_REPLICA, "no target is owned here")
-    if not present:
+    if not available:
         return verdict.not_run(verdict.Reason.LEAVING, "all replicas are leaving")
     snapshot = sub.request.snapshot
-    if sub.request.needs_snapshot and not any(snapshot in r.holds for r in present):
+    if sub.request.needs_snapshot and not any(snapshot in r.holds for r in available):
         return verdict.not_run(verdict.Reason.SNAPSHOT_GONE, f"no replica holds {snapshot}")
     return verdict.not_run(verdict.Reason.UNREACHABLE, "all replicas are resting")
 
--- a/src/lineworks/engine/views.py
+++ b/src/lineworks/engine/views.py
@@ -30,8 +30,8 @@
         self._config = catalog.EMPTY
         self._members: dict[str, str] = {name: hall}
         self._weights: Mapping[str, float] = {}
-        self._reported: dict[str, Mapping[str, frozenset[catalog.Snapshot]]] = {}
-        self._held: dict[str, frozenset[catalog.Snapshot]] = {}
+        self._holdings: dict[str, Mapping[str, frozenset[catalog.Snapshot]]] = {}
+        self._held_snapshots: dict[str, frozenset[catalog.Snapshot]] = {}
         self._paths: dict[tuple[str, catalog.Snapshot | None], list[routing.Path]] = {}
 
     @property
@@ -53,7 +53,7 @@
         """
         self._config = config
         self._weights = weights
-        self._forget()
+        self._invalidate_caches()
 
     def set_members(self, members: Mapping[str, str]) -> None:
         """Replace the live instances.
@@ -62,10 +62,10 @@
             members: Names with halls; this instance is added if it is missing.
         """
         self._members = {**members, self._name: self._hall}
-        for name in list(self._reported):
+        for name in list(self._holdings):
             if name not in self._members:
-                del self._reported[name]
-        self._forget()
+                del self._holdings[name]
+        self._invalidate_caches()
 
     def set_holdings(
         self, instance: str, holdings: Mapping[str, frozenset[catalog.Snapshot]]
@@ -76,8 +76,8 @@
             instance: The gatherer.
             holdings: For each service that it owns, the snapshots held.
         """
-        self._reported[instance] = holdings
-        self._forget()
+        self._holdings[instance] = holdings
+        self._invalidate_caches()
 
     def drop_holdings(self, instance: str) -> None:
         """Forget what a gatherer could serve, because its link is gone.
@@ -85,10 +85,10 @@
         Args:
             instance: The gatherer.
         """
-        if self._reported.pop(instance, None) is not None:
-            self._forget()
+        if self._holdings.pop(instance, None) is not None:
+            self._invalidate_caches()
 
-    def held(self, service: str) -> frozenset[catalog.Snapshot]:
+    def held_snapshots(self, service: str) -> frozenset[catalog.Snapshot]:
         """Tell which snapshots of a service can be served from anywhere.
 
         Args:
@@ -97,11 +97,11 @@
         Returns:
             The snapshots.
         """
-        found = self._held.get(service)
-        if found is None:
-            sets = (holdings.get(service, frozenset()) for holdings in self._reported.values())
-            found = self._held[service] = frozenset().union(*sets)
-        return found
+        cached = self._held_snapshots.get(service)
+        if cached is None:
+            sets = (holdings.get(service, frozenset()) for holdings in self._holdings.values())
+            cached = self._held_snapshots[service] = frozenset().union(*sets)
+        return cached
 
     def class_weight(self, caller_class: str) -> float:
         """Tell a class's admission weight.
@@ -139,10 +139,12 @@
         """
         connections = min((t.connections for t in service.targets if t.hall == hall), default=0)
         count = ownership.owner_count(connections)
-        there = [name for name, where in self._members.items() if where == hall]
-        if not there:
-            there = self._nearest_to(hall)
-        return ownership.owners(service.name, there, count)
+        hall_instances = [
+            name for name, instance_hall in self._members.items() if instance_hall == hall
+        ]
+        if not hall_instances:
+            hall_instances = self._nearest_to(hall)
+        return ownership.owners(service.name, hall_instances, count)
 
     def owned_targets(self) -> Iterable[catalog.Target]:
         """List the targets that this instance owns.
@@ -152,8 +154,8 @@
         """
         for service in self._config.services.values():
             halls = {target.hall for target in service.targets}
-            mine = {hall for hall in halls if self._name in self.hall_owners(service, hall)}
-            yield from (target for target in service.targets if target.hall in mine)
+            owned_halls = {hall for hall in halls if self._name in self.hall_owners(service, hall)}
+            yield from (target for target in service.targets if target.hall in owned_halls)
 
     def paths(
         self, service: catalog.Service, snapshot: catalog.Snapshot | None
@@ -168,10 +170,10 @@
             One path for each hall with an owner that can serve it.
         """
         key = (service.name, snapshot)
-        found = self._paths.get(key)
-        if found is None:
-            found = self._paths[key] = self._compute_paths(service, snapshot)
-        return found
+        cached = self._paths.get(key)
+        if cached is None:
+            cached = self._paths[key] = self._compute_paths(service, snapshot)
+        return cached
 
     def _compute_paths(
         self, service: catalog.Service, snapshot: catalog.Snapshot | None
@@ -188,18 +190,16 @@
         return paths
 
     def _can_serve(self, instance: str, service: str, snapshot: catalog.Snapshot | None) -> bool:
-        held = self._reported.get(instance, {}).get(service, frozenset())
-        return bool(held) if snapshot is None else snapshot in held
+        held_snapshots = self._holdings.get(instance, {}).get(service, frozenset())
+        return bool(held_snapshots) if snapshot is None else snapshot in held_snapshots
 
     def _nearest_to(self, hall: str) -> list[str]:
-        others = sorted(set(self._members.values()))
-        if not others:
+        halls = sorted(set(self._members.values()))
+        if not halls:
             return []
-        nearest = min(
-            others, key=lambda other: (abs(self._delay(other) - self._delay(hall)), other)
-        )
-        return [name for name, where in self._members.items() if where == nearest]
+        nearest = min(halls, key=lambda other: (abs(self._delay(other) - self._delay(hall)), other))
+        return [name for name, instance_hall in self._members.items() if instance_hall == nearest]
 
-    def _forget(self) -> None:
-        self._held.clear()
+    def _invalidate_caches(self) -> None:
+        self._held_snapshots.clear()
         self._paths.clear()
--- a/src/lineworks/programs/demo.py
+++ b/src/lineworks/programs/demo.py
@@ -182,7 +182,7 @@
     def _is_whole(self, entry: instance.Instance) -> bool:
         view = entry.core.view
         services = view.config.services.values()
-        return bool(services) and all(view.held(service.name) for service in services)
+        return bool(services) and all(view.held_snapshots(service.name) for service in services)
 
     async def _drive(self) -> None:
         """Send all requests by a clock of arrivals, never waiting for answers."""
--- a/src/lineworks/services/cluster.py
+++ b/src/lineworks/services/cluster.py
@@ -88,7 +88,7 @@
         self.front = front.Front(
             options.name, reactor, rng, self, self.view, on_trace=timelines.note
         )
-        self.gatherer.on_holdings = self._on_holdings_changed
+        self.gatherer.on_holdings_changed = self._on_holdings_changed
         self._connect()
 
     def _connect(self) -> None:
@@ -237,9 +237,11 @@
     def _ask_some(self) -> None:
         """Ask targets that told nothing lately: new ones all at once, others a few at a time."""
         now = self._reactor.seconds()
-        owned = list(self.gatherer.owned)
-        unknown = [r for r in owned if not r.incarnation and r.target.name not in self._asked]
-        due = [r for r in owned if now - self._heard_or_asked(r) >= REPORT_SECONDS]
+        owned_replicas = list(self.gatherer.owned_replicas)
+        unknown = [
+            r for r in owned_replicas if not r.incarnation and r.target.name not in self._asked
+        ]
+        due = [r for r in owned_replicas if now - self._heard_or_asked(r) >= REPORT_SECONDS]
         due.sort(key=self._heard_or_asked)
         for replica in unknown or due[:REPORTS_PER_TICK]:
             self._asked[replica.target.name] = now
--- a/src/lineworks/services/operator_api.py
+++ b/src/lineworks/services/operator_api.py
@@ -158,7 +158,7 @@
                 "leaving": replica.is_leaving,
                 "failures": replica.failures,
             }
-            for replica in self._core.gatherer.owned
+            for replica in self._core.gatherer.owned_replicas
         ]
         document = {
             "name": self._options.name,
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -49,9 +49,9 @@
 
 def test_what_is_held_anywhere_is_known(view):
     view.set_holdings("b1", {"s": HELD | {catalog.Snapshot(2, "base")}})
-    assert view.held("s") == HELD | {catalog.Snapshot(2, "base")}
+    assert view.held_snapshots("s") == HELD | {catalog.Snapshot(2, "base")}
     view.set_members({"a2": "h1", "b2": "h2"})
-    assert view.held("s") == HELD
+    assert view.held_snapshots("s") == HELD
 
 
 def test_delays_and_weights(view):
