--- a/src/lineworks/engine/__init__.py
+++ b/src/lineworks/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The query machinery: it drives the decisions over injected clocks and ports."""
+"""The query engine: applies `lineworks.decisions` using an injected clock and I/O ports."""
--- a/src/lineworks/engine/answers.py
+++ b/src/lineworks/engine/answers.py
@@ -1,4 +1,4 @@
-"""What a front makes of a query: what is in its way, what it has reached, and its answer."""
+"""Planning checks, shard coverage and verdicts of a query, and its answer."""
 
 from __future__ import annotations
 
@@ -15,61 +15,63 @@
     from lineworks.engine import views
 
 MIN_RETRY_AFTER = 0.05
-"""Seconds after which a refused caller may ask again at the earliest."""
+"""Minimum number of seconds that a refused caller is told to wait before it retries."""
 
 
 def check_search(
     config: catalog.Catalog, match: selectors.Match, group: catalog.Group
 ) -> verdict.Verdict | None:
-    """Say why a search can't be planned.
+    """Check whether a search can be planned.
 
     Args:
         config: The configuration.
-        match: The selector that matches it, if any.
+        match: The result of matching the search with the selectors.
         group: The group that the selector names.
 
     Returns:
-        A verdict, or None when nothing is in the way.
+        A `NOT_RUN` verdict with the reason; None when it can be planned.
     """
     if not config.version:
         return verdict.not_run(verdict.Reason.NOT_READY, "no configuration yet")
     if match.selector is None:
         return verdict.not_run(verdict.Reason.NO_SELECTOR, "no selector matches the query")
     if not group.services:
-        return verdict.not_run(verdict.Reason.NO_SERVICE, f"no service carries {group.name}")
+        return verdict.not_run(
+            verdict.Reason.NO_SERVICE, f"no service belongs to group {group.name}"
+        )
     return None
 
 
 def check_run(config: catalog.Catalog, is_known: bool, service: str) -> verdict.Verdict | None:
-    """Say why a request to one service can't be planned.
+    """Check whether a request to one service can be planned.
 
     Args:
         config: The configuration.
-        is_known: Whether it has the service.
+        is_known: Whether the configuration has the service.
         service: Name of the service.
 
     Returns:
-        A verdict, or None when nothing is in the way.
+        A `NOT_RUN` verdict with the reason; None when it can be planned.
     """
     if not config.version:
         return verdict.not_run(verdict.Reason.NOT_READY, "no configuration yet")
     if not is_known:
-        return verdict.not_run(verdict.Reason.NO_SERVICE, f"there is no service {service}")
+        return verdict.not_run(verdict.Reason.NO_SERVICE, f"service {service} does not exist")
     return None
 
 
 def compute_coverage(query: queries.Query) -> coverage.Coverage:
-    """Tell which shards a query has and lacks.
+    """Compute which shards have replied to a query.
 
     Args:
         query: The query.
 
     Returns:
-        Its coverage, with a verdict for each shard that is lacking.
+        The covered shards, and a verdict for each shard without a successful reply.
     """
     covered = []
     lacking = {}
-    cancelled = verdict.may_have_run(verdict.Reason.CANCELLED, "given up with the query")
+    cancelled = verdict.may_have_run(verdict.Reason.CANCELLED, "cancelled with the query")
     for shard in query.shards:
         result = shard.verdict
         if result is not None and result.is_ok:
@@ -80,14 +82,17 @@
 
 
 def combine_failures(first: verdict.Verdict | None, second: verdict.Verdict) -> verdict.Verdict:
-    """Keep the verdict that says less surely that nothing ran; the later one of equals.
+    """Combine the verdicts of two failures of a sub-query.
+
+    A verdict that the sub-query ran, or may have run, takes precedence over `NOT_RUN`; otherwise
+    the later verdict does.
 
     Args:
         first: The verdict so far, if any.
-        second: The later one.
+        second: The later verdict.
 
     Returns:
-        One of them.
+        One of the two verdicts.
     """
     if first is None or not second.is_not_run or first.is_not_run:
         return second
@@ -97,22 +102,22 @@
 def unreachable_verdict(
     view: views.ClusterView, query: queries.Query, shard: queries.Shard
 ) -> verdict.Verdict:
-    """Say why no owner is left to ask for a shard.
+    """Explain why no owner is available for a shard.
 
     Args:
-        view: What the front knows of owners and their snapshots.
+        view: The front's view of owners and their snapshots.
         query: The query.
         shard: The shard.
 
     Returns:
-        A verdict that it has not run.
+        A `NOT_RUN` verdict with the reason.
     """
     if shard.tried_owners and view.paths(shard.service, query.snapshot):
-        return verdict.not_run(verdict.Reason.UNREACHABLE, "no other owner is left to ask")
+        return verdict.not_run(verdict.Reason.UNREACHABLE, "no other owner is available")
     if query.needs_snapshot and view.paths(shard.service, None):
-        detail = f"no replica is known to hold {query.snapshot} any more"
+        detail = f"no known replica holds snapshot {query.snapshot} any more"
         return verdict.not_run(verdict.Reason.SNAPSHOT_GONE, detail)
-    return verdict.not_run(verdict.Reason.NO_REPLICA, "no data hall can serve it")
+    return verdict.not_run(verdict.Reason.NO_REPLICA, "no data hall can serve the shard")
 
 
 def build_answer(
@@ -121,16 +126,16 @@
     shard_coverage: coverage.Coverage,
     bodies: Mapping[str, bytes],
 ) -> requests.Answer:
-    """Make the answer to a query.
+    """Build the answer to a query.
 
     Args:
         query: The query.
-        found: What is known of it.
-        shard_coverage: The shards that it has and lacks.
-        bodies: The body of each shard that it has.
+        result: The verdict of the query.
+        shard_coverage: The shards that replied, and those that didn't.
+        bodies: The reply of each covered shard.
 
     Returns:
-        The answer, with a time to come back for an overloaded caller.
+        The answer; when the front is overloaded, with the time after which to retry.
     """
     retry_after = None
     if result.reason is verdict.Reason.OVERLOADED:
--- a/src/lineworks/engine/dispatcher.py
+++ b/src/lineworks/engine/dispatcher.py
@@ -1,8 +1,8 @@
-"""Sends sub-queries to gatherers and matches what comes back.
+"""Sends sub-queries to gatherers and matches replies with them.
 
-The dispatcher chooses the hall and the owner, batches what goes to one owner into one frame,
-hedges across halls, and notices gatherers that have fallen silent with work in hand. It knows
-nothing of answers; every outcome is handed to the front.
+The dispatcher selects the data hall and the owner of each sub-query, batches sub-queries for the
+same owner into one frame, hedges across halls, and resends sub-queries whose gatherer has stopped
+replying. It doesn't assemble answers: it passes every outcome to the front.
 """
 
 from __future__ import annotations
@@ -22,20 +22,22 @@
     from lineworks.engine import front_state, ports, views
 
 UNRESPONSIVE_AFTER = 0.25
-"""Seconds with work in hand and no reply at all after which a gatherer counts as silent."""
+"""Seconds without any reply after which a gatherer with outstanding work is unresponsive."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Peer:
-    """What is known of one gatherer."""
+    """The state of one gatherer, as seen by this front."""
 
     outstanding: int = 0
+    """Sub-queries sent to it that are not settled."""
+
     progress_at: float = 0.0
-    """Last reply, or the first message after all earlier ones were settled."""
+    """Time in seconds of its last reply, or of the first frame sent while it had no work."""
 
 
 class Dispatcher:
-    """The sub-queries of one front that are under way."""
+    """Routes, sends, hedges and cancels the sub-queries of one front."""
 
     def __init__(
         self,
@@ -50,19 +52,19 @@
         on_outcome: Callable[[queries.Query, queries.Shard, messages.ShardReply], None],
         trace: Callable[[queries.Query, str, str, str], None],
     ) -> None:
-        """Start with nothing under way.
+        """Create a dispatcher without sub-queries.
 
         Args:
             name: Name of this instance.
-            clock: Time and timers.
+            clock: Source of the time and of timers.
             rng: Random source.
-            gatherers: Carries messages.
+            gatherers: Sends messages to gatherers.
             view: Configuration, owners and holdings.
-            tuning: Choices that the bench varies.
-            counters: Counts of the front.
-            state_of: Finds what was learned about a query's group.
-            on_outcome: Takes each outcome that is still wanted.
-            trace: Takes (query, shard, event, detail).
+            tuning: Options of the front.
+            counters: Counters of the front, which the dispatcher updates too.
+            state_of: Returns the state of a query's group.
+            on_outcome: Called with each outcome of a sub-query that is not done yet.
+            trace: Called with (query, shard, event, detail) at each step.
         """
         self._name = name
         self._clock = clock
@@ -82,15 +84,15 @@
     def send(
         self, query: queries.Query, positions: Sequence[int], is_hedge: bool = False
     ) -> list[queries.Shard]:
-        """Send sub-queries, one message to each owner.
+        """Send sub-queries, batched into one frame for each owner.
 
         Args:
             query: The query.
-            positions: Positions of its sub-queries.
-            is_hedge: Whether they are sent a second time, to a hall not tried yet.
+            positions: Positions in the query of the sub-queries to send.
+            is_hedge: Whether these are second copies, which go to a hall not tried yet.
 
         Returns:
-            Sub-queries that no owner could be found for.
+            Sub-queries without an available owner.
         """
         batches: dict[tuple[str, str], list[int]] = {}
         unreachable = []
@@ -105,7 +107,7 @@
         return unreachable
 
     def on_reply(self, instance: str, reply: messages.ShardReply) -> None:
-        """Match a reply with its sub-query; drop and count what does not match.
+        """Match a reply with its sub-query; count and drop replies that match none.
 
         Args:
             instance: The gatherer that sent it.
@@ -129,18 +131,18 @@
         self._on_outcome(query, shard, reply)
 
     def on_link_lost(self, instance: str) -> None:
-        """Handle the loss of a gatherer: what it was asked has no outcome.
+        """Fail every sub-query sent to a gatherer, because the link to it is lost.
 
         Args:
             instance: The gatherer.
         """
         lost = [number for number, frame in self._frames.items() if frame.instance == instance]
-        result = verdict.may_have_run(verdict.Reason.LINK_LOST, f"lost {instance}")
+        result = verdict.may_have_run(verdict.Reason.LINK_LOST, f"link to {instance} lost")
         for number in lost:
             self._fail_frame(number, result)
 
     def cancel_query(self, query: queries.Query) -> None:
-        """Give up every frame of a query.
+        """Cancel all frames of a query.
 
         Args:
             query: The query.
@@ -154,7 +156,7 @@
                     self._settle(number, frame, shard)
 
     def cancel_shard(self, shard: queries.Shard) -> None:
-        """Give up what is still under way for one sub-query.
+        """Cancel all outstanding copies of a sub-query.
 
         Args:
             shard: The sub-query.
@@ -168,7 +170,7 @@
     def _route(
         self, query: queries.Query, shard: queries.Shard, is_hedge: bool
     ) -> tuple[str, str] | None:
-        """Choose the hall and the owner that get a sub-query."""
+        """Select the data hall and the owner for a sub-query; None when there is no owner."""
         snapshot = query.snapshot if query.needs_snapshot else None
         paths: Sequence[routing.Path] = self._view.paths(shard.service, snapshot)
         if is_hedge:
@@ -190,7 +192,7 @@
         return path.hall, routing.choose_owner(path, self._name, outstanding, tried)
 
     def _exclude_unresponsive(self, paths: Sequence[routing.Path]) -> Sequence[routing.Path]:
-        """Leave out silent owners, unless all are silent."""
+        """Exclude unresponsive owners, unless all owners are unresponsive."""
         if not self._tuning.avoids_unresponsive:
             return paths
         if not any(self._is_unresponsive(name) for path in paths for name in path.owners):
@@ -289,7 +291,7 @@
         self._trace(query, shard.shard, event, f"{frame.instance} in {frame.hall}")
 
     def _start_timers(self, query: queries.Query, number: int, is_hedge: bool) -> None:
-        """Set the timers that look at a frame's slow sub-queries."""
+        """Start the timers that hedge or resend the slow sub-queries of a frame."""
         frame = self._frames[number]
         if not is_hedge:
             self._check_hedge(query, frame)
@@ -299,7 +301,7 @@
             )
 
     def _check_unresponsive(self, number: int) -> None:
-        """Send a silent gatherer's sub-queries elsewhere, without giving the first ones up."""
+        """Resend an unresponsive gatherer's sub-queries without cancelling the first copies."""
         frame = self._frames.get(number)
         if frame is None or frame.query.is_finished or not self._is_unresponsive(frame.instance):
             return
@@ -322,7 +324,7 @@
         return not owners <= shard.tried_owners
 
     def _check_hedge(self, query: queries.Query, frame: queries.Frame) -> None:
-        """Ask the hedge rule about a frame, act on it, and set the next check."""
+        """Apply the hedging rule to a frame and schedule the next check."""
         if query.is_finished:
             return
         waiting = [p for p in frame.positions if _is_hedged_by_front(query.shards[p])]
@@ -350,7 +352,7 @@
         self.send(query, [position], is_hedge=True)
 
     def _fail_frame(self, number: int, result: verdict.Verdict) -> None:
-        """Settle all of a frame's sub-queries with one verdict."""
+        """Settle all sub-queries of a frame with the same verdict."""
         frame = self._frames.get(number)
         if frame is None:
             return
@@ -359,7 +361,7 @@
             self.on_reply(frame.instance, failed)
 
     def _settle(self, number: int, frame: queries.Frame, shard: queries.Shard) -> None:
-        """Count one sub-query of a frame as settled, and forget the frame after its last."""
+        """Count one sub-query of a frame as settled; remove the frame after its last one."""
         frame.outstanding -= 1
         self._peers[frame.instance].outstanding -= 1
         load = self._loads[shard.service.name].get(frame.hall)
@@ -388,7 +390,11 @@
 
 
 def _is_hedged_by_front(shard: queries.Shard) -> bool:
-    """Say whether the front hedges a sub-query, in another hall, and not its gatherer."""
+    """Return whether the front hedges a sub-query in another hall.
+
+    It does where the service has a single target in the hall, so that the gatherer has no other
+    replica to hedge at.
+    """
     if shard.is_done:
         return False
     return sum(1 for target in shard.service.targets if target.hall == shard.hall) == 1
--- a/src/lineworks/engine/front.py
+++ b/src/lineworks/engine/front.py
@@ -1,4 +1,4 @@
-"""The front: turns a caller's query into sub-queries and their replies into one answer."""
+"""The front: splits a caller's query into sub-queries and merges the replies into one answer."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     from lineworks.engine import messages, ports, requests, views
 
 OWNERSHIP_CHANGE_WINDOW = 1.0
-"""Seconds after a change of members in which new owners may not have heard from targets yet."""
+"""Seconds after a membership change in which new owners may lack reports from their targets."""
 
 OWNER_RETRY_DELAY = 0.05
-"""Seconds after which a sub-query that no owner can take is tried again in that time."""
+"""Seconds between attempts to find an owner during `OWNERSHIP_CHANGE_WINDOW`."""
 
 
 class Front:
-    """Admits queries, plans them, and merges the replies."""
+    """Admits queries, plans and sends their sub-queries, and merges the replies."""
 
     def __init__(
         self,
@@ -36,15 +36,15 @@
         tuning: front_state.Tuning | None = None,
         on_trace: Callable[[str, str, str, str], None] | None = None,
     ) -> None:
-        """Start without queries.
+        """Create a front without queries.
 
         Args:
             name: Name of this instance.
-            clock: Time and timers.
+            clock: Source of the time and of timers.
             rng: Random source.
-            gatherers: Carries messages to gatherers.
+            gatherers: Sends messages to gatherers.
             view: Configuration, owners and holdings as this instance knows them.
-            tuning: Choices that differ from the usual ones.
+            tuning: Options; the defaults when None.
             on_trace: Called with (query, shard, event, detail) at each step.
         """
         self._name = name
@@ -72,12 +72,12 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no query is waiting or under way."""
+        """Whether no query is queued or running."""
         return not self._active
 
     @property
     def groups(self) -> Mapping[str, queries.GroupState]:
-        """What was learned about each group, by the group's name."""
+        """The state of each group by the group's name."""
         return self._groups
 
     def search(
@@ -90,7 +90,7 @@
             on_answer: Called exactly once, at the deadline at the latest, unless cancelled.
 
         Returns:
-            A function that cancels the search when its caller has gone.
+            A function that cancels the search, for a caller that has disconnected.
         """
         config = self._view.config
         match = selectors.choose(config.selectors, request.fields)
@@ -115,15 +115,15 @@
     def run(
         self, request: requests.RunRequest, on_answer: Callable[[requests.Answer], None]
     ) -> Callable[[], None]:
-        """Run one request at one service.
+        """Run a request at one service.
 
         Args:
             request: The request.
             on_answer: Called exactly once, at the deadline at the latest, unless cancelled.
 
         Returns:
-            A function that cancels it when its caller has gone; a request that is not repeatable
-            and was already sent goes on.
+            A function that cancels the request, for a caller that has disconnected. It doesn't
+            cancel a request that is not repeatable and was already sent.
         """
         config = self._view.config
         is_known = request.service in config.services
@@ -145,11 +145,11 @@
         return self._submit(query, answers.check_run(config, is_known, request.service))
 
     def on_reply(self, instance: str, reply: messages.ShardReply) -> None:
-        """Take in the outcome of a sub-query.
+        """Process the reply to a sub-query.
 
         Args:
             instance: The gatherer that sent it.
-            reply: The outcome.
+            reply: The reply.
         """
         self._dispatcher.on_reply(instance, reply)
 
@@ -162,14 +162,14 @@
         self._dispatcher.on_link_lost(instance)
 
     def on_members_changed(self) -> None:
-        """Note that owners may have changed."""
+        """Record a membership change, after which owners may differ."""
         self._members_changed_at = self._clock.seconds()
 
     def _next_id(self) -> str:
         return f"{self._name}-{next(self._query_numbers)}"
 
     def _submit(self, query: queries.Query, problem: verdict.Verdict | None) -> Callable[[], None]:
-        """Start a query, let it wait, or refuse it."""
+        """Start, queue or refuse a query."""
         now = self._clock.seconds()
         self.counters.queries += 1
         self._active[query.id] = query
@@ -184,7 +184,7 @@
         admission = self._group_state(query).admission
         admitted = admission.offer(query, query.caller_class, weight, now, query.deadline)
         if admitted is None:
-            self._trace(query, "", "queue", f"{admission.waiting} waiting")
+            self._trace(query, "", "queue", f"{admission.waiting} queued")
         elif admitted.is_ok:
             self._start(query)
         else:
@@ -207,7 +207,7 @@
         return state
 
     def _start(self, query: queries.Query) -> None:
-        """Pin the snapshot, plan the shards and send them."""
+        """Pin the snapshot, create the sub-queries and send them."""
         query.is_started = True
         query.started_at = self._clock.seconds()
         if not self._plan(query, excluded=None):
@@ -217,6 +217,7 @@
         self._send(query, list(range(len(query.shards))))
 
     def _plan(self, query: queries.Query, excluded: catalog.Snapshot | None) -> bool:
+        """Pin a snapshot and create the sub-queries; finish the query when it can't be planned."""
         layout = catalog.BASE_LAYOUT
         if query.needs_snapshot:
             pin = snapshots.pin(query.group, self._view.held_snapshots, excluded)
@@ -232,7 +233,7 @@
             if query.only_shard in (None, shard)
         ]
         if not query.needs_snapshot and len(planned) != 1:
-            detail = "name one of the service's shards"
+            detail = "the request must name one shard of the service"
             self._finish(query, verdict.not_run(verdict.Reason.INVALID, detail))
             return False
         query.shards = planned
@@ -251,7 +252,7 @@
             if shard.is_done or shard.pending:
                 continue
             if self._may_wait_for_owner(query):
-                self._trace(query, shard.shard, "wait", "for a new owner")
+                self._trace(query, shard.shard, "wait", "no owner after a membership change")
                 self._set_timer(query, OWNER_RETRY_DELAY, functools.partial(self._resend, shard))
             else:
                 self._fail_shard(
@@ -271,11 +272,13 @@
     def _on_shard_reply(
         self, query: queries.Query, shard: queries.Shard, reply: messages.ShardReply
     ) -> None:
-        """Use a reply that is still wanted: merge it, or send the sub-query elsewhere."""
+        """Process the reply to a sub-query that is not done: complete, retry or fail it."""
         result = reply.verdict
         if result.is_ok and query.needs_snapshot and reply.snapshot != query.snapshot:
             self.counters.wrong_snapshot += 1
-            result = verdict.ran(verdict.Reason.SNAPSHOT_GONE, f"replied from {reply.snapshot}")
+            result = verdict.ran(
+                verdict.Reason.SNAPSHOT_GONE, f"the reply came from snapshot {reply.snapshot}"
+            )
         self._trace(query, shard.shard, "reply", f"{result.certainty.value} {result.reason.value}")
         shard.waited = reply.waited
         if result.is_ok:
@@ -301,7 +304,7 @@
     def _fail_shard(
         self, query: queries.Query, shard: queries.Shard, result: verdict.Verdict
     ) -> None:
-        """Deal with a sub-query that nothing is left to try for."""
+        """Restart the query on another snapshot, or complete the sub-query as failed."""
         is_snapshot_gone = result.reason is verdict.Reason.SNAPSHOT_GONE
         if is_snapshot_gone and query.is_repeatable and self._has_other_snapshot(query):
             self._restart(query)
@@ -309,25 +312,25 @@
             self._complete_shard(query, shard, answers.combine_failures(shard.verdict, result))
 
     def _has_other_snapshot(self, query: queries.Query) -> bool:
-        """Say whether a restart would find a whole snapshot; it may happen once."""
+        """Return whether the query may restart, once, on a snapshot that covers every shard."""
         if query.has_restarted:
             return False
         return snapshots.pin(query.group, self._view.held_snapshots, query.snapshot).is_whole
 
     def _restart(self, query: queries.Query) -> None:
-        """Start the whole query again on another snapshot, once."""
+        """Restart the whole query on another snapshot."""
         old_snapshot = query.snapshot
         self._dispatcher.cancel_query(query)
         query.has_restarted = True
         self.counters.restarts += 1
-        self._trace(query, "", "restart", f"{old_snapshot} is gone")
+        self._trace(query, "", "restart", f"snapshot {old_snapshot} is no longer held")
         if self._plan(query, excluded=old_snapshot):
             self._send(query, list(range(len(query.shards))))
 
     def _complete_shard(
         self, query: queries.Query, shard: queries.Shard, result: verdict.Verdict
     ) -> None:
-        """Settle a sub-query, cancel what else is under way for it, and perhaps answer."""
+        """Complete a sub-query, cancel its other copies, and finish the query if it is decided."""
         if query.is_finished or shard.is_done:
             return
         shard.is_done = True
@@ -339,13 +342,13 @@
             self._finish(query, None)
 
     def _on_target_latency(self, query: queries.Query) -> None:
-        """Answer in part when the wanted latency has passed and enough shards replied."""
+        """Send a partial answer at the target latency if enough shards have replied."""
         if query.is_finished:
             return
         completed = sum(1 for shard in query.shards if shard.is_done)
         required = max(query.policy.min_coverage, query.min_coverage or 0.0)
         if completed and completed >= required * len(query.shards):
-            self._mark_timed_out(query, "no reply within the wanted latency")
+            self._mark_timed_out(query, "no reply within the target latency")
             self._finish(query, None)
 
     def _on_deadline(self, query: queries.Query) -> None:
@@ -353,9 +356,11 @@
             return
         if not query.is_started:
             self._group_state(query).admission.remove(query)
-            self._refuse(query, verdict.not_run(verdict.Reason.OVERLOADED, "waited too long"))
+            self._refuse(
+                query, verdict.not_run(verdict.Reason.OVERLOADED, "still queued at the deadline")
+            )
             return
-        self._mark_timed_out(query, "no reply in time")
+        self._mark_timed_out(query, "no reply before the deadline")
         self._finish(query, None)
 
     def _mark_timed_out(self, query: queries.Query, detail: str) -> None:
@@ -365,7 +370,7 @@
                 shard.verdict = answers.combine_failures(shard.verdict, timed_out)
 
     def _finish(self, query: queries.Query, problem: verdict.Verdict | None) -> None:
-        """Answer the caller and release everything that the query holds."""
+        """Release the resources of a query and send its answer."""
         query.is_finished = True
         shard_coverage = answers.compute_coverage(query)
         result = problem or coverage.judge(shard_coverage, query.policy, query.min_coverage)
@@ -411,13 +416,13 @@
         query.on_answer(answers.build_answer(query, result, shard_coverage, bodies))
 
     def _cancel(self, query: queries.Query) -> None:
-        """Give a query up because its caller has gone."""
+        """Cancel a query because its caller has disconnected."""
         if query.is_finished or (query.is_started and not query.is_repeatable):
             return
         query.is_finished = True
         query.on_answer = _discard_answer
         if query.is_started:
-            self._trace(query, "", "cancel", "the caller has gone")
+            self._trace(query, "", "cancel", "the caller disconnected")
             self._release(query)
             return
         self._group_state(query).admission.remove(query)
@@ -429,9 +434,9 @@
 
 
 def _no_op() -> None:
-    """Cancel nothing, because the query is over."""
+    """Do nothing; returned as the cancel function of a query that was refused."""
 
 
 def _discard_answer(answer: requests.Answer) -> None:
-    """Drop an answer that nobody waits for."""
+    """Discard an answer because its caller has disconnected."""
     del answer
--- a/src/lineworks/engine/front_state.py
+++ b/src/lineworks/engine/front_state.py
@@ -1,4 +1,4 @@
-"""What a front may be told to do differently, and what it counts."""
+"""Options and counters of a front."""
 
 from __future__ import annotations
 
@@ -9,51 +9,51 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tuning:
-    """Choices of a front that the bench varies."""
+    """Options of a front; the benchmarks compare their settings."""
 
     hedge: hedging.Rule = dataclasses.field(default_factory=hedging.make_progress_rule)
-    """When sub-queries are hedged in another hall."""
+    """Rule that decides when sub-queries are hedged in another hall."""
 
     uses_admission: bool = True
-    """Whether queries are limited and queued; otherwise all start at once."""
+    """Whether admission control limits and queues queries; otherwise all start at once."""
 
     routes_by_load: bool = True
-    """Whether halls are chosen by expected time; otherwise by chance."""
+    """Whether halls are selected by expected latency; otherwise at random."""
 
     hedge_budget: float | None = None
-    """Overrides the policies' hedge budgets."""
+    """Hedges allowed as a share of sub-queries; None to use the budget of each policy."""
 
     avoids_unresponsive: bool = True
-    """Whether gatherers that have fallen silent are passed over."""
+    """Whether gatherers that have stopped replying are avoided and their sub-queries resent."""
 
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """Counts of what a front did, for metrics."""
+    """Event counts of a front, exported as metrics under the names of the attributes."""
 
     queries: int = 0
     """Queries received."""
 
     refused: int = 0
-    """Queries refused as not run."""
+    """Queries refused, or cancelled before they started."""
 
     sub_queries: int = 0
-    """Sub-queries planned."""
+    """Sub-queries created."""
 
     hedges: int = 0
-    """Hedges sent to another hall."""
+    """Sub-queries hedged in another hall."""
 
     retries: int = 0
-    """Sub-queries sent again to another owner."""
+    """Sub-queries sent to another owner after a failure."""
 
     resent: int = 0
-    """Sub-queries sent elsewhere because their gatherer had fallen silent."""
+    """Sub-queries sent to another owner because their gatherer stopped replying."""
 
     restarts: int = 0
-    """Queries started again on another snapshot."""
+    """Queries restarted on another snapshot."""
 
     late_replies: int = 0
-    """Replies dropped because their sub-query was over or unknown."""
+    """Replies dropped because their sub-query was done or unknown."""
 
     wrong_snapshot: int = 0
     """Replies dropped because they came from another snapshot."""
--- a/src/lineworks/engine/gatherer.py
+++ b/src/lineworks/engine/gatherer.py
@@ -1,7 +1,8 @@
-"""The gatherer: turns sub-queries into attempts at the targets that this instance owns.
+"""The gatherer: runs sub-queries as attempts at the targets that this instance owns.
 
-A sub-query that finds no replica with room waits in its service's queue and is bound to a
-replica only when one has room, so a slow replica holds up only what it is already working on.
+When no replica has free capacity, a sub-query waits in the queue of its service. It is assigned to
+a replica only when one has free capacity, so a slow replica delays only the attempts that it is
+already running.
 """
 
 from __future__ import annotations
@@ -30,13 +31,13 @@
         tuning: sub_query.Tuning | None = None,
         on_trace: Callable[[str, str, str, str], None] | None = None,
     ) -> None:
-        """Start without targets.
+        """Create a gatherer without targets.
 
         Args:
-            clock: Time and timers.
+            clock: Source of the time and of timers.
             rng: Random source.
-            targets: Sends attempts.
-            tuning: Choices that differ from the usual ones.
+            targets: Sends attempts to targets.
+            tuning: Options; the defaults when None.
             on_trace: Called with (query, shard, event, detail) at each step.
         """
         self._clock = clock
@@ -53,16 +54,16 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no sub-query is under way."""
+        """Whether no sub-query is queued or running."""
         return not self._frames
 
     @property
     def owned_replicas(self) -> Iterable[replicas.Replica]:
-        """The views of all targets that this instance owns."""
+        """The replicas at all targets that this instance owns."""
         return self._replicas.values()
 
     def set_targets(self, targets: Iterable[catalog.Target]) -> None:
-        """Replace the set of owned targets; work under way goes on.
+        """Replace the set of owned targets; running attempts continue.
 
         Args:
             targets: The targets that this instance owns now.
@@ -82,10 +83,10 @@
         self.on_holdings_changed()
 
     def holdings(self) -> dict[str, frozenset[catalog.Snapshot]]:
-        """Tell what can be served from the owned targets.
+        """List the snapshots that the owned targets can serve.
 
         Returns:
-            For each service, the snapshots that at least one replica which is not leaving holds.
+            For each service, the snapshots held by at least one replica that is not leaving.
         """
         held: dict[str, frozenset[catalog.Snapshot]] = {}
         for service, pool in self._pools.items():
@@ -94,7 +95,7 @@
         return held
 
     def on_report(self, target: str, report: replicas.Report) -> None:
-        """Take in what a target said of itself.
+        """Process a report that a target sent about itself.
 
         Args:
             target: Name of the target.
@@ -109,7 +110,7 @@
             self.on_holdings_changed()
 
     def on_leaving(self, target: str) -> None:
-        """Note that a target is leaving; this holds for its whole incarnation.
+        """Mark a target as leaving for the rest of its incarnation.
 
         Args:
             target: Name of the target.
@@ -128,7 +129,7 @@
         """Start the sub-queries of a frame.
 
         Args:
-            origin: Incarnation of the front that asks.
+            origin: Incarnation of the front that sent the frame.
             request: The frame.
             reply: Called once for each sub-query that is not cancelled.
         """
@@ -151,22 +152,22 @@
             self._check_hedges(key)
 
     def on_cancel(self, origin: str, cancel: messages.Cancel) -> None:
-        """Give up sub-queries and the attempts at them.
+        """Cancel sub-queries and their attempts.
 
         Args:
-            origin: Incarnation of the front that asked for them.
-            cancel: Which ones.
+            origin: Incarnation of the front that sent the sub-queries.
+            cancel: The frame and the positions to cancel.
         """
         frame = self._frames.get((origin, cancel.frame))
         if frame is None:
             return
-        wanted = cancel.indices or range(len(frame.sub_queries))
-        for index in wanted:
+        positions = cancel.indices or range(len(frame.sub_queries))
+        for index in positions:
             if 0 <= index < len(frame.sub_queries):
                 self._end_sub_query(frame.sub_queries[index])
 
     def on_origin_lost(self, origin: str) -> None:
-        """Give up everything repeatable that a front asked for, because its link is gone.
+        """Cancel the repeatable sub-queries of a front, because the link to it is lost.
 
         Args:
             origin: Incarnation of the front.
@@ -176,7 +177,7 @@
                 self.on_cancel(origin, messages.Cancel(key[1]))
 
     def _check_hedges(self, key: tuple[str, int]) -> None:
-        """Ask the hedge rule about each running sub-query of a frame, and set the next check."""
+        """Apply the hedging rule to each open sub-query of a frame and schedule the next check."""
         frame = self._frames.get(key)
         if frame is None:
             return
@@ -192,7 +193,7 @@
             frame.hedge_timer = self._clock.callLater(delay, self._check_hedges, key)
 
     def _check_hedge(self, sub: sub_query.SubQuery, frame: sub_query.Frame) -> float | None:
-        """Hedge a sub-query if it is time, and say in how many seconds to look again."""
+        """Hedge a sub-query if it is due; return the seconds until the next check, if any."""
         group = self._group(sub.request.group)
         elapsed = self._elapsed(sub)
         budget_fill = group.hedges.tokens / sub_query.HEDGE_BURST
@@ -203,7 +204,7 @@
         return None if sub.is_hedged else advice.check_in
 
     def _elapsed(self, sub: sub_query.SubQuery) -> float:
-        """Tell how long a sub-query holds up its query, network both ways included."""
+        """Return the sub-query's age in seconds as the front sees it, with the network delay."""
         return self._clock.seconds() - sub.arrived + sub.request.network_delay
 
     def _hedge(self, sub: sub_query.SubQuery, group: sub_query.GroupState) -> None:
@@ -231,7 +232,7 @@
         return pool
 
     def _usable_replicas(self, sub: sub_query.SubQuery) -> list[replicas.Replica]:
-        """List the replicas that may still serve a sub-query, with or without room."""
+        """List the replicas that may still serve a sub-query, with or without free capacity."""
         pool = self._pool(sub.service)
         request = sub.request
         snapshot = request.snapshot if request.needs_snapshot else None
@@ -240,7 +241,7 @@
         return [replica for replica in usable if replica.target.name not in sub.tried]
 
     def _choose_replica(self, usable: list[replicas.Replica]) -> replicas.Replica | None:
-        """Choose among able replicas the one to start at, or None when none has room."""
+        """Choose the replica for an attempt; None when no usable one has free capacity."""
         if self._tuning.limits_concurrency:
             usable = [replica for replica in usable if replica.in_flight < replica.limit.value]
         if not usable:
@@ -248,7 +249,7 @@
         return self._tuning.choose(usable, self._clock.seconds(), self._rng)
 
     def _schedule(self, sub: sub_query.SubQuery) -> None:
-        """Start a sub-query's next attempt, or let it wait, or give it up."""
+        """Start the next attempt of a sub-query, queue the sub-query, or fail it."""
         usable = self._usable_replicas(sub)
         replica = self._choose_replica(usable)
         if replica is not None:
@@ -257,7 +258,7 @@
         if usable:
             sub.is_waiting = True
             self._pool(sub.service).waiting.append(sub)
-            self._trace(sub, "wait", "no replica has room")
+            self._trace(sub, "wait", "no replica has free capacity")
             return
         self._finish(
             sub, sub.failure or sub_query.unavailable_verdict(sub, self._pool(sub.service))
@@ -299,7 +300,7 @@
     def _update_replica(
         self, sub: sub_query.SubQuery, running: sub_query.RunningAttempt, outcome: ports.Outcome
     ) -> None:
-        """Update the view of the target from how an attempt at it ended."""
+        """Update the state of a replica from the outcome of an attempt."""
         now = self._clock.seconds()
         replica = running.replica
         reason = outcome.verdict.reason
@@ -325,15 +326,15 @@
             self.counters.refused += 1
 
     def _handle_outcome(self, sub: sub_query.SubQuery, outcome: ports.Outcome) -> None:
-        """Answer, retry or wait for another attempt, by how this one ended."""
+        """Complete or retry a sub-query after an attempt, or wait for its other attempt."""
         result = outcome.verdict
         if result.is_ok and sub_query.is_wrong_snapshot(sub, outcome):
             self.counters.wrong_snapshot += 1
-            detail = f"the target answered from {outcome.snapshot}"
+            detail = f"the target replied from snapshot {outcome.snapshot}"
             result = verdict.ran(verdict.Reason.SNAPSHOT_GONE, detail)
         self._trace(sub, "outcome", f"{result.certainty.value} {result.reason.value}")
         if result.is_ok:
-            # From the arrival, so that a hedged sub-query counts as slow though its hedge was fast.
+            # Measured from arrival: a hedged sub-query counts as slow even if its hedge was fast.
             self._group(sub.request.group).latencies.record(self._elapsed(sub))
             self._finish(sub, result, outcome)
             return
@@ -354,7 +355,7 @@
         return self._pool(sub.service).retries.spend()
 
     def _dispatch_waiting(self, pool: sub_query.ReplicaPool) -> None:
-        """Bind waiting sub-queries to replicas that have room now."""
+        """Start queued sub-queries at replicas that have free capacity."""
         waiting = pool.waiting
         now = self._clock.seconds()
         while waiting:
@@ -395,7 +396,7 @@
         )
 
     def _end_sub_query(self, sub: sub_query.SubQuery) -> None:
-        """End a sub-query and cancel the attempts at it that still run."""
+        """Mark a sub-query as done and cancel its running attempts."""
         if sub.is_done:
             return
         sub.is_done = True
@@ -422,15 +423,17 @@
             if sub.is_done:
                 continue
             if sub.running:
-                result = verdict.may_have_run(verdict.Reason.DEADLINE, "no outcome in time")
+                result = verdict.may_have_run(
+                    verdict.Reason.DEADLINE, "no reply from the target before the deadline"
+                )
             else:
                 result = sub.failure or verdict.not_run(
-                    verdict.Reason.OVERLOADED, "no replica had room in time"
+                    verdict.Reason.OVERLOADED, "no replica had free capacity before the deadline"
                 )
             self._finish(sub, result)
 
     def _settle(self, key: tuple[str, int]) -> None:
-        """Count one sub-query of a frame as done, and forget the frame after its last."""
+        """Count one sub-query of a frame as done; remove the frame after its last one."""
         frame = self._frames[key]
         frame.outstanding -= 1
         if frame.outstanding:
--- a/src/lineworks/engine/messages.py
+++ b/src/lineworks/engine/messages.py
@@ -1,7 +1,7 @@
-"""Messages between a front and the gatherers that it asks.
+"""Messages between a front and its gatherers.
 
-They travel as plain objects inside one process and as peer link frames between processes.
-Deadlines are on the receiver's own clock; the link carries remaining time.
+Within a process they are passed as objects; between processes they are sent as peer link frames.
+Deadlines are in the receiver's clock; a peer link transmits the remaining time.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubQueries:
-    """Asks a gatherer for several shards of one query."""
+    """A frame with sub-queries of one query for a gatherer."""
 
     frame: int
-    """Number of this message, unique for the sending incarnation."""
+    """Number of this frame, unique within the sender's incarnation."""
 
     query: str
-    """Identity of the query, for logs and targets."""
+    """ID of the query, for logs and attempt IDs."""
 
     hall: str
-    """Data hall whose targets are wanted."""
+    """Data hall whose targets serve the sub-queries."""
 
     snapshot: catalog.Snapshot
     """Snapshot that every reply must come from."""
 
     services: tuple[str, ...]
-    """For each sub-query, the service."""
+    """Service name of each sub-query."""
 
     shards: tuple[str, ...]
-    """For each sub-query, the shard."""
+    """Shard name of each sub-query."""
 
     body: bytes
-    """The body that every target gets."""
+    """Body that is sent to every target."""
 
     deadline: float
-    """Time by which replies are of use, in seconds on the receiver's clock."""
+    """Time by which replies must be sent, in seconds of the receiver's clock."""
 
     is_repeatable: bool = True
     """Whether a sub-query may be started more than once."""
@@ -50,24 +50,24 @@
     """Whether only replicas that hold the snapshot may answer."""
 
     group: str = ""
-    """Group that the query reaches; latencies and hedge tokens are kept by group."""
+    """Name of the group that is queried; the gatherer keeps latencies and hedge tokens by group."""
 
     hedge_budget: float = 0.0
-    """Hedges that the group's policy allows, as a share of sub-queries."""
+    """Hedges that the group's policy allows, as a share of sub-queries (0 to 1)."""
 
     network_delay: float = 0.0
-    """Seconds that this message and a reply to it spend on the way, as the front expects."""
+    """Network round-trip time in seconds, as expected by the front."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel:
-    """Gives up sub-queries of a frame."""
+    """Cancels sub-queries of a frame."""
 
     frame: int
-    """The frame that asked for them."""
+    """Number of the frame with the sub-queries."""
 
     indices: tuple[int, ...] = ()
-    """Positions given up; empty for all."""
+    """Positions of the sub-queries to cancel; empty for all."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -75,29 +75,29 @@
     """The outcome of one sub-query."""
 
     frame: int
-    """The frame that asked for it."""
+    """Number of the frame with the sub-query."""
 
     index: int
-    """Position in that frame."""
+    """Position of the sub-query in that frame."""
 
     verdict: verdict.Verdict
-    """What is known of it."""
+    """Verdict of the sub-query."""
 
     snapshot: catalog.Snapshot | None
-    """Snapshot that the target answered from."""
+    """Snapshot that the target replied from; None when no target replied."""
 
     body: bytes
-    """The target's reply, empty unless the verdict is OK."""
+    """Body of the target's reply; empty unless the verdict is OK."""
 
     waited: float
-    """Seconds spent waiting for a slot at the gatherer."""
+    """Seconds that the sub-query was queued at the gatherer."""
 
     target: str
     """Name of the last target tried, or empty."""
 
     attempts: int
-    """Attempts that were handed to targets."""
+    """Number of attempts sent to targets."""
 
 
 Request: TypeAlias = SubQueries | Cancel
-"""What a front sends to a gatherer."""
+"""A message from a front to a gatherer."""
--- a/src/lineworks/engine/ports.py
+++ b/src/lineworks/engine/ports.py
@@ -1,4 +1,4 @@
-"""What the query machinery needs from its host: a clock, links and target connections."""
+"""Interfaces that the query engine needs from its host: clock, peer links, target connections."""
 
 from __future__ import annotations
 
@@ -13,60 +13,60 @@
 
 
 class Timer(Protocol):
-    """A call that was scheduled and can be cancelled, as Twisted's `IDelayedCall`."""
+    """A scheduled call that can be cancelled, like Twisted's `IDelayedCall`."""
 
     def cancel(self) -> None:
-        """Prevent the call."""
+        """Cancel the call."""
 
     def active(self) -> bool:
-        """Say whether the call is still to come."""
+        """Return whether the call is still pending."""
 
 
 class Clock(Protocol):
-    """The part of Twisted's `IReactorTime` that the machinery uses."""
+    """The part of Twisted's `IReactorTime` that the engine uses."""
 
     def seconds(self) -> float:
-        """Tell the present time in seconds."""
+        """Return the current time in seconds."""
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Timer:  # noqa: N802
-        """Schedule a call `delay` seconds from now."""
+        """Schedule a call in `delay` seconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One request to one target."""
+    """A request to a target for one sub-query."""
 
     id: str
-    """Unique identity, by which the target can be told to cancel it."""
+    """Unique ID, used to cancel the attempt at the target."""
 
     shard: str
-    """The shard asked for."""
+    """Name of the shard."""
 
     snapshot: catalog.Snapshot | None
-    """The snapshot wanted, or None when any will do."""
+    """The required snapshot, or None when any is accepted."""
 
     body: bytes
     """The request's body."""
 
     deadline: float
-    """Time by which a reply is of use, in seconds on the host's clock."""
+    """Time by which the target must reply, in seconds of the host's clock."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended."""
+    """The outcome of an attempt."""
 
     verdict: verdict.Verdict
-    """What is known of it."""
+    """Verdict of the attempt."""
 
     snapshot: catalog.Snapshot | None = None
-    """Snapshot that the reply came from."""
+    """Snapshot that the target replied from, if it replied."""
 
     body: bytes = b""
-    """The reply."""
+    """Body of the reply."""
 
     report: replicas.Report | None = None
-    """What the target said of itself along with it."""
+    """Report on the target's own state that came with the reply, if any."""
 
 
 class TargetPort(Protocol):
@@ -78,8 +78,8 @@
         """Start an attempt.
 
         Args:
-            target: Where to.
-            attempt: What to send.
+            target: The target.
+            attempt: The attempt.
             on_outcome: Called exactly once, unless the attempt is cancelled first.
 
         Returns:
@@ -88,15 +88,15 @@
 
 
 class GathererPort(Protocol):
-    """Carries messages from a front to gatherers."""
+    """Sends messages from a front to gatherers."""
 
     def send(self, instance: str, request: messages.Request) -> bool:
-        """Send a message to an instance, which may be this one.
+        """Send a message to the gatherer of an instance, which may be this one.
 
         Args:
-            instance: Name of the receiver.
+            instance: Name of the receiving instance.
             request: The message.
 
         Returns:
-            False when there is no link, and so the message certainly did not go out.
+            False when there is no link, in which case nothing was sent.
         """
--- a/src/lineworks/engine/query.py
+++ b/src/lineworks/engine/query.py
@@ -1,4 +1,4 @@
-"""The state of a query at its front: its shards, its frames, and what its group has learned."""
+"""The state of a front: queries with their sub-queries and frames, and groups."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
     from lineworks.engine import ports, requests
 
 RETRY_BURST = 20.0
-"""Retries that a group's budget holds at most."""
+"""Maximum number of retry tokens of a group."""
 
 HEDGE_BURST = 20.0
-"""Hedges that a group's budget holds at most."""
+"""Maximum number of hedge tokens of a group."""
 
 INITIAL_HEDGE_TOKENS = 8.0
-"""Hedges that a group's budget holds at first, so that many restarts add little load."""
+"""Hedge tokens of a new group; fewer than the maximum, so that many restarts add little load."""
 
 WAIT_SHARE = 0.25
-"""Share of a policy's target latency that waiting for a slot may take."""
+"""Share of a policy's target latency that sub-queries may spend queued at gatherers."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Shard:
-    """One sub-query of a query."""
+    """One sub-query: the part of a query that one shard answers."""
 
     service: catalog.Service
     """The service that holds the shard."""
@@ -37,13 +37,13 @@
     """Name of the shard."""
 
     sent_at: float = 0.0
-    """When it was last sent, other than as a hedge."""
+    """Time in seconds when it was last sent, not counting hedges."""
 
     hall: str = ""
-    """Data hall that it was last sent to, other than as a hedge."""
+    """Data hall that it was last sent to, not counting hedges."""
 
     pending: dict[int, int] = dataclasses.field(default_factory=dict)
-    """Frames that may still answer, each with the position in it."""
+    """Numbers of the frames that await a reply for it, each with its position in the frame."""
 
     tried_owners: set[str] = dataclasses.field(default_factory=set)
     """Instances that it was sent to."""
@@ -52,24 +52,24 @@
     """Data halls that it was sent to."""
 
     is_done: bool = False
-    """Whether its outcome is settled."""
+    """Whether it has its final outcome."""
 
     is_hedged: bool = False
-    """Whether the front sent it a second time."""
+    """Whether the front has hedged it."""
 
     body: bytes = b""
-    """The reply."""
+    """The body of the reply."""
 
     verdict: verdict.Verdict | None = None
-    """What is known of it."""
+    """Its final verdict, or that of its failures so far."""
 
     waited: float = 0.0
-    """Seconds that it waited for a slot."""
+    """Seconds that it was queued at the gatherer, by the last reply."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Frame:
-    """A message sent to a gatherer, until all of its sub-queries are settled."""
+    """A message with sub-queries sent to a gatherer, until all of them are settled."""
 
     query: Query
     """The query."""
@@ -78,48 +78,48 @@
     """The gatherer's instance."""
 
     hall: str
-    """The hall whose targets were asked for."""
+    """Data hall whose targets serve the sub-queries."""
 
     positions: list[int]
     """Positions of its sub-queries in the query."""
 
     is_hedge: bool
-    """Whether it repeats what another frame asked for."""
+    """Whether it repeats sub-queries of another frame."""
 
     outstanding: int
-    """Sub-queries not settled."""
+    """Number of its sub-queries that are not settled."""
 
     sent_at: float
-    """When it was sent, in seconds."""
+    """Time in seconds when it was sent."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Query:
-    """A query under way."""
+    """A query that is queued or running."""
 
     id: str
-    """Identity, unique among all instances."""
+    """ID, unique among all instances."""
 
     group: catalog.Group
-    """Services that it reaches."""
+    """Group of services that it is sent to."""
 
     policy: catalog.Policy
-    """What its caller is promised."""
+    """Policy of the selector that matched it."""
 
     config: catalog.Catalog
-    """Configuration that it was admitted under."""
+    """Configuration in force when it was received."""
 
     body: bytes
-    """Body for every shard."""
+    """Body that is sent to every shard."""
 
     caller_class: str
     """Class of the caller."""
 
     deadline: float
-    """When the caller stops waiting."""
+    """Time in seconds by which it must be answered."""
 
     min_coverage: float | None
-    """Coverage that the caller asked for."""
+    """Share of shards (0 to 1) that the caller requires; None for the policy's minimum."""
 
     is_repeatable: bool
     """Whether a sub-query may be started more than once."""
@@ -128,41 +128,41 @@
     """Whether all replies must come from one snapshot."""
 
     only_shard: str | None
-    """The only shard wanted, or None for all."""
+    """The only shard to query, or None for all shards."""
 
     on_answer: Callable[[requests.Answer], None]
-    """Takes the answer."""
+    """Called with the answer."""
 
     snapshot: catalog.Snapshot | None = None
-    """Snapshot pinned."""
+    """The pinned snapshot."""
 
     shards: list[Shard] = dataclasses.field(default_factory=list)
     """Its sub-queries."""
 
     outstanding: int = 0
-    """Sub-queries not settled."""
+    """Number of sub-queries that are not done."""
 
     is_started: bool = False
-    """Whether it was admitted."""
+    """Whether it has started, rather than being queued."""
 
     is_finished: bool = False
-    """Whether it was answered or cancelled."""
+    """Whether it was answered, refused or cancelled."""
 
     has_restarted: bool = False
-    """Whether it was started again on another snapshot."""
+    """Whether it was restarted on another snapshot."""
 
     started_at: float = 0.0
-    """When it was admitted."""
+    """Time in seconds when it started."""
 
     frames: set[int] = dataclasses.field(default_factory=set)
-    """Numbers of its frames that are not settled."""
+    """Numbers of its frames with unsettled sub-queries."""
 
     timers: list[ports.Timer] = dataclasses.field(default_factory=list)
-    """Timers to cancel when it is over."""
+    """Timers that are cancelled when it finishes."""
 
 
 class GroupState:
-    """What a front has learned about one group."""
+    """Admission, budgets and latencies of one group, as seen by this front."""
 
     def __init__(
         self,
@@ -170,12 +170,12 @@
         hedge_budget: float,
         on_expired: Callable[[Query, verdict.Verdict], None],
     ) -> None:
-        """Start with the limits of a group that nothing is known about.
+        """Create the state of a group with initial limits and no samples.
 
         Args:
             policy: The group's policy.
             hedge_budget: Hedges allowed, as a share of sub-queries.
-            on_expired: Called with each query that is refused after it waited.
+            on_expired: Called with each query that is refused after it was queued, and the verdict.
         """
         limit = limits.QueryLimit(policy.target_latency * WAIT_SHARE)
         self.admission: admission.Admission[Query] = admission.Admission(
@@ -189,13 +189,13 @@
         self._latencies: dict[str, estimators.Quantiles] = {}
 
     def hall_latencies(self, hall: str) -> estimators.Quantiles:
-        """Tell how long sub-queries to a hall take.
+        """Return the latencies of sub-queries sent to a hall.
 
         Args:
-            hall: The hall.
+            hall: The data hall.
 
         Returns:
-            Their latencies, as this front sees them.
+            Quantiles of the seconds from sending to reply, as measured at this front.
         """
         cached = self._latencies.get(hall)
         if cached is None:
@@ -204,13 +204,15 @@
 
 
 def wait_signal(query: Query) -> float:
-    """Tell the wait that decided a query, leaving out shards that its policy may lack.
+    """Return the queueing time at gatherers that determined when a query could be answered.
+
+    The longest waits are left out for as many shards as the policy allows to be missing.
 
     Args:
-        query: The query, over.
+        query: The finished query.
 
     Returns:
-        Seconds.
+        Seconds; 0 when no sub-query is done.
     """
     waits = sorted(shard.waited for shard in query.shards if shard.is_done)
     if not waits:
--- a/src/lineworks/engine/requests.py
+++ b/src/lineworks/engine/requests.py
@@ -1,4 +1,4 @@
-"""What callers ask a front, and what they get."""
+"""Requests from callers to a front, and the answers to them."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SearchRequest:
-    """A caller's search, checked."""
+    """A validated search request."""
 
     fields: Mapping[str, str]
-    """Query fields, caller class and workspace among them."""
+    """Fields that selectors match, including the caller class and the workspace."""
 
     body: bytes
-    """The body that every shard gets."""
+    """Body that is sent to every shard."""
 
     caller_class: str
-    """Class whose weight applies at admission."""
+    """Caller class, which determines the weight at admission."""
 
     deadline: float
-    """When the caller stops waiting, in seconds on this process's clock."""
+    """Time by which the caller must be answered, in seconds of this process's clock."""
 
     min_coverage: float | None = None
     """Share of shards (0 to 1) below which the caller wants a refusal."""
@@ -33,48 +33,48 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunRequest:
-    """A caller's request to one service, checked."""
+    """A validated request to one service."""
 
     service: str
     """Name of the service."""
 
     shard: str | None
-    """The shard, or None where the service has only one."""
+    """Name of the shard; may be None when the service has only one."""
 
     body: bytes
     """The request's body."""
 
     caller_class: str
-    """Class whose weight applies at admission."""
+    """Caller class, which determines the weight at admission."""
 
     deadline: float
-    """When the caller stops waiting, in seconds on this process's clock."""
+    """Time by which the caller must be answered, in seconds of this process's clock."""
 
     is_repeatable: bool = False
-    """Whether it may run more than once."""
+    """Whether it may be executed more than once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller gets."""
+    """The answer to a caller."""
 
     query: str
-    """Identity of the query."""
+    """ID of the query."""
 
     verdict: verdict.Verdict
-    """What is known of the query."""
+    """Verdict of the query."""
 
     snapshot: catalog.Snapshot | None
-    """The snapshot that every reply came from."""
+    """The snapshot that every reply came from; None when none was pinned."""
 
     config_version: int
     """Version of the configuration that the query ran under."""
 
     coverage: coverage.Coverage
-    """Shards covered and lacking."""
+    """Shards that replied, and those that didn't."""
 
     bodies: Mapping[str, bytes]
-    """For each covered shard, the reply."""
+    """Body of the reply of each covered shard, by shard name."""
 
     retry_after: float | None = None
-    """Seconds after which a refused caller may ask again."""
+    """Seconds after which a refused caller should retry, if known."""
--- a/src/lineworks/engine/sub_query.py
+++ b/src/lineworks/engine/sub_query.py
@@ -1,4 +1,4 @@
-"""The state of sub-queries at a gatherer: attempts, frames, pools of replicas, and groups."""
+"""The state of a gatherer: sub-queries, attempts, frames, replica pools and groups."""
 
 from __future__ import annotations
 
@@ -14,65 +14,66 @@
     from lineworks.engine import messages, ports
 
 STALL_FACTOR = 6.0
-"""A replica without progress for this many usual service times counts as stalled."""
+"""Multiple of the average service time without progress after which a replica is stalled."""
 
 MIN_STALL_TIMEOUT = 0.05
-"""Seconds without progress that are never a stall."""
+"""Minimum number of seconds without progress before a replica is stalled."""
 
 SLOW_FACTOR = 2.0
-"""An attempt given up after this many usual service times counts against its replica."""
+"""Multiple of the average service time after which a cancelled attempt counts against
+its replica."""
 
 RETRY_BURST = 10.0
-"""Retries that a service's budget holds at most."""
+"""Maximum number of retry tokens of a service."""
 
 RETRY_RATIO = 0.1
-"""Retries earned for each sub-query."""
+"""Retry tokens earned by each sub-query."""
 
 HEDGE_BURST = 20.0
-"""Hedges that a group's budget holds at most."""
+"""Maximum number of hedge tokens of a group."""
 
 INITIAL_HEDGE_TOKENS = 8.0
-"""Hedges that a group's budget holds at first, so that many restarts add little load."""
+"""Hedge tokens of a new group; fewer than the maximum, so that many restarts add little load."""
 
 SHED_BACKOFF = 0.02
-"""Seconds that a target is left alone after it shed a request."""
+"""Seconds for which a target gets no attempt after it shed a request."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tuning:
-    """Choices of a gatherer that the bench varies."""
+    """Options of a gatherer; the benchmarks compare their settings."""
 
     choose: replicas.Choice = replicas.choose_least_loaded
-    """Rule that picks among replicas with room."""
+    """Rule that chooses among the usable replicas with free capacity."""
 
     limits_concurrency: bool = True
-    """Whether attempts are limited for each target and sub-queries wait for room."""
+    """Whether attempts at each target are limited and further sub-queries queued."""
 
     ejects_stalled: bool = True
-    """Whether replicas without progress are passed over."""
+    """Whether stalled replicas get no attempts unless all are stalled."""
 
     hedge: hedging.Rule = dataclasses.field(default_factory=hedging.make_progress_rule)
-    """When a sub-query is hedged at another replica of the hall."""
+    """Rule that decides when a sub-query is hedged at another replica in the hall."""
 
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """Counts of what a gatherer did, for metrics."""
+    """Event counts of a gatherer, exported as metrics under the names of the attributes."""
 
     started: int = 0
-    """Attempts handed to targets."""
+    """Attempts sent to targets."""
 
     hedges: int = 0
-    """Of those, second attempts that a front asked for."""
+    """Hedges among the started attempts."""
 
     retries: int = 0
-    """Of those, attempts after a failed one."""
+    """Retries after a failed attempt."""
 
     refused: int = 0
-    """Attempts that targets refused as not run."""
+    """Attempts that ended with a `NOT_RUN` verdict."""
 
     cancelled: int = 0
-    """Attempts given up."""
+    """Attempts cancelled."""
 
     wrong_snapshot: int = 0
     """Replies discarded because they came from another snapshot."""
@@ -80,49 +81,49 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class SubQuery:
-    """A sub-query under way."""
+    """A sub-query at the gatherer, until its outcome is sent."""
 
     origin: str
-    """Incarnation of the front that asked."""
+    """Incarnation of the front that sent it."""
 
     request: messages.SubQueries
-    """The message that asked for it."""
+    """The frame that it came in."""
 
     index: int
-    """Its position in that message."""
+    """Its position in that frame."""
 
     reply: Callable[[messages.ShardReply], None]
-    """Takes its outcome."""
+    """Sends its outcome to the front."""
 
     arrived: float
-    """When it arrived, in seconds."""
+    """Time of arrival in seconds."""
 
     waited: float = 0.0
-    """Seconds until its first attempt."""
+    """Seconds from arrival to the first attempt."""
 
     attempts: int = 0
-    """Attempts handed to targets."""
+    """Attempts started."""
 
     running: dict[str, RunningAttempt] = dataclasses.field(default_factory=dict)
-    """Attempts under way, by identity."""
+    """Running attempts by attempt ID."""
 
     tried: set[str] = dataclasses.field(default_factory=set)
-    """Targets that it was sent to."""
+    """Names of the targets that were tried."""
 
     is_waiting: bool = False
-    """Whether it waits for a replica with room."""
+    """Whether it waits for a replica with free capacity."""
 
     is_hedged: bool = False
-    """Whether it needs no more looks by the hedge rule."""
+    """Whether hedging is finished: it was hedged, or no other replica was usable."""
 
     is_done: bool = False
-    """Whether its outcome is settled."""
+    """Whether it has an outcome or was cancelled."""
 
     failure: verdict.Verdict | None = None
-    """What is known from attempts that failed."""
+    """Verdict of its failed attempts, if any; `NOT_RUN` only if none of them may have run."""
 
     last_target: str = ""
-    """Target of the last attempt."""
+    """Name of the target of the last attempt."""
 
     @property
     def service(self) -> str:
@@ -132,37 +133,37 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Frame:
-    """The sub-queries of one message that have no outcome yet, counted."""
+    """The sub-queries of one frame, until all of them are done."""
 
     sub_queries: list[SubQuery]
-    """All of them."""
+    """All sub-queries of the frame."""
 
     outstanding: int
-    """How many are not settled."""
+    """Number of sub-queries that are not done."""
 
     timer: ports.Timer
     """Fires at the deadline."""
 
     hedge_timer: ports.Timer | None = None
-    """Fires when the hedge rule wants to look again."""
+    """Fires at the next check of the hedging rule."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class RunningAttempt:
-    """An attempt under way."""
+    """An attempt that has no outcome yet."""
 
     replica: replicas.Replica
-    """Where it was sent."""
+    """The replica that it was sent to."""
 
     started: float
-    """When, in seconds."""
+    """Start time in seconds."""
 
     cancel: Callable[[], None] | None = None
-    """Cancels it."""
+    """Cancels the attempt."""
 
 
 class ReplicaPool:
-    """The replicas of one service, with the sub-queries that wait for one."""
+    """The replicas of one service and the queue of sub-queries that wait for them."""
 
     def __init__(self) -> None:
         self.replicas: list[replicas.Replica] = []
@@ -177,7 +178,7 @@
 
 
 class GroupState:
-    """What a gatherer has learned about one group."""
+    """Latencies and hedge budget of one group, as seen by this gatherer."""
 
     def __init__(self) -> None:
         self.latencies = estimators.Quantiles()
@@ -186,35 +187,39 @@
 
 
 def unavailable_verdict(sub: SubQuery, pool: ReplicaPool) -> verdict.Verdict:
-    """Say why no replica is left for a sub-query.
+    """Explain why no replica is available for a sub-query.
 
     Args:
         sub: The sub-query.
-        pool: The replicas of its service.
+        pool: The replica pool of its service.
 
     Returns:
-        A verdict that it has not run.
+        A `NOT_RUN` verdict with the reason.
     """
     available = [replica for replica in pool.replicas if not replica.is_leaving]
     if not pool.replicas:
-        return verdict.not_run(verdict.Reason.NO_REPLICA, "no target is owned here")
+        return verdict.not_run(
+            verdict.Reason.NO_REPLICA, "this instance owns no target of the service"
+        )
     if not available:
         return verdict.not_run(verdict.Reason.LEAVING, "all replicas are leaving")
     snapshot = sub.request.snapshot
     if sub.request.needs_snapshot and not any(snapshot in r.holds for r in available):
-        return verdict.not_run(verdict.Reason.SNAPSHOT_GONE, f"no replica holds {snapshot}")
-    return verdict.not_run(verdict.Reason.UNREACHABLE, "all replicas are resting")
+        return verdict.not_run(
+            verdict.Reason.SNAPSHOT_GONE, f"no replica holds snapshot {snapshot}"
+        )
+    return verdict.not_run(verdict.Reason.UNREACHABLE, "all replicas are in backoff")
 
 
 def is_wrong_snapshot(sub: SubQuery, outcome: ports.Outcome) -> bool:
-    """Say whether an attempt brought another snapshot than its sub-query is pinned to.
+    """Return whether a target lacked the pinned snapshot or replied from another one.
 
     Args:
         sub: The sub-query.
-        outcome: How the attempt ended.
+        outcome: The outcome of the attempt.
 
     Returns:
-        False when any snapshot will do.
+        Whether the snapshot was wrong; always False when any snapshot is accepted.
     """
     if not sub.request.needs_snapshot:
         return False
--- a/src/lineworks/engine/views.py
+++ b/src/lineworks/engine/views.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the whole: configuration, owners and holdings."""
+"""An instance's view of the cluster: configuration, members, owners and held snapshots."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class ClusterView:
-    """One instance's picture of the cluster, which the front plans with.
+    """One instance's view of the cluster, used by the front to plan queries.
 
-    Everything derived is cached until the configuration, the members or the holdings change.
+    Derived values are cached until the configuration, the members or the holdings change.
     """
 
     def __init__(self, name: str, hall: str, delay: Callable[[str], float]) -> None:
-        """Start with an empty configuration.
+        """Create a view with an empty configuration and this instance as the only member.
 
         Args:
             name: Name of this instance.
             hall: Its data hall.
-            delay: One-way seconds from this instance to a hall.
+            delay: Returns the one-way network delay to a hall in seconds.
         """
         self._name = name
         self._hall = hall
@@ -41,11 +41,11 @@
 
     @property
     def members(self) -> Mapping[str, str]:
-        """Live instances by name, each with its hall."""
+        """Data halls of the live instances, by instance name."""
         return self._members
 
     def set_config(self, config: catalog.Catalog, weights: Mapping[str, float]) -> None:
-        """Put a configuration in force.
+        """Apply a configuration.
 
         Args:
             config: The configuration.
@@ -59,7 +59,7 @@
         """Replace the live instances.
 
         Args:
-            members: Names with halls; this instance is added if it is missing.
+            members: Data halls by instance name; this instance is added if it is missing.
         """
         self._members = {**members, self._name: self._hall}
         for name in list(self._holdings):
@@ -70,17 +70,17 @@
     def set_holdings(
         self, instance: str, holdings: Mapping[str, frozenset[catalog.Snapshot]]
     ) -> None:
-        """Take in what a gatherer can serve.
+        """Replace the holdings of a gatherer.
 
         Args:
             instance: The gatherer.
-            holdings: For each service that it owns, the snapshots held.
+            holdings: For each service that it owns, the snapshots that it can serve.
         """
         self._holdings[instance] = holdings
         self._invalidate_caches()
 
     def drop_holdings(self, instance: str) -> None:
-        """Forget what a gatherer could serve, because its link is gone.
+        """Remove the holdings of a gatherer, because the link to it is lost.
 
         Args:
             instance: The gatherer.
@@ -89,7 +89,7 @@
             self._invalidate_caches()
 
     def held_snapshots(self, service: str) -> frozenset[catalog.Snapshot]:
-        """Tell which snapshots of a service can be served from anywhere.
+        """Return the snapshots of a service that at least one gatherer can serve.
 
         Args:
             service: Name of the service.
@@ -104,38 +104,38 @@
         return cached
 
     def class_weight(self, caller_class: str) -> float:
-        """Tell a class's admission weight.
+        """Return the admission weight of a caller class.
 
         Args:
             caller_class: The class.
 
         Returns:
-            The configured weight, or 1.
+            The configured weight; 1 when none is configured.
         """
         return self._weights.get(caller_class, 1.0)
 
     def delay_to(self, instance: str) -> float:
-        """Tell the one-way delay to an instance.
+        """Return the one-way network delay to an instance.
 
         Args:
             instance: Name of the instance.
 
         Returns:
-            Seconds; 0 to itself.
+            Seconds; 0 for this instance.
         """
         if instance == self._name:
             return 0.0
         return self._delay(self._members.get(instance, self._hall))
 
     def hall_owners(self, service: catalog.Service, hall: str) -> tuple[str, ...]:
-        """Compute the owners of a service's targets in a hall.
+        """Compute the owners of a service's targets in a data hall.
 
         Args:
             service: The service.
             hall: The data hall.
 
         Returns:
-            Instances of that hall, or of the nearest hall that has any.
+            Names of instances in that hall, or in the nearest hall that has instances.
         """
         connections = min((t.connections for t in service.targets if t.hall == hall), default=0)
         count = ownership.owner_count(connections)
@@ -150,7 +150,7 @@
         """List the targets that this instance owns.
 
         Returns:
-            Targets of the configuration in force.
+            The owned targets, by the configuration in force.
         """
         for service in self._config.services.values():
             halls = {target.hall for target in service.targets}
@@ -160,14 +160,14 @@
     def paths(
         self, service: catalog.Service, snapshot: catalog.Snapshot | None
     ) -> list[routing.Path]:
-        """List the halls that can serve a service at a snapshot.
+        """List the data halls that can serve a service at a snapshot.
 
         Args:
             service: The service.
-            snapshot: The snapshot, or None when any will do.
+            snapshot: The snapshot, or None when any is accepted.
 
         Returns:
-            One path for each hall with an owner that can serve it.
+            One path for each hall with an owner that can serve the service.
         """
         key = (service.name, snapshot)
         cached = self._paths.get(key)
