--- a/src/lineworks/engine/sub_query.py
+++ b/src/lineworks/engine/sub_query.py
@@ -20,8 +20,7 @@
 """Minimum number of seconds without progress before a replica is stalled."""
 
 SLOW_FACTOR = 2.0
-"""Multiple of the average service time after which a cancelled attempt counts against
-its replica."""
+"""Multiple of the service time after which a cancelled attempt counts against its replica."""
 
 RETRY_BURST = 10.0
 """Maximum number of retry tokens of a service."""
