--- a/src/lineworks/engine/answers.py
+++ b/src/lineworks/engine/answers.py
@@ -36,9 +36,7 @@
     if match.selector is None:
         return verdict.not_run(verdict.Reason.NO_SELECTOR, "no selector matches the query")
     if not group.services:
-        return verdict.not_run(
-            verdict.Reason.NO_SERVICE, f"no service belongs to group {group.name}"
-        )
+        return verdict.not_run(verdict.Reason.NO_SERVICE, f"no service carries {group.name}")
     return None
 
 
@@ -56,7 +54,7 @@
     if not config.version:
         return verdict.not_run(verdict.Reason.NOT_READY, "no configuration yet")
     if not is_known:
-        return verdict.not_run(verdict.Reason.NO_SERVICE, f"service {service} does not exist")
+        return verdict.not_run(verdict.Reason.NO_SERVICE, f"there is no service {service}")
     return None
 
 
@@ -71,7 +69,7 @@
     """
     covered = []
     lacking = {}
-    cancelled = verdict.may_have_run(verdict.Reason.CANCELLED, "cancelled with the query")
+    cancelled = verdict.may_have_run(verdict.Reason.CANCELLED, "given up with the query")
     for shard in query.shards:
         result = shard.verdict
         if result is not None and result.is_ok:
@@ -113,11 +111,11 @@
         A `NOT_RUN` verdict with the reason.
     """
     if shard.tried_owners and view.paths(shard.service, query.snapshot):
-        return verdict.not_run(verdict.Reason.UNREACHABLE, "no other owner is available")
+        return verdict.not_run(verdict.Reason.UNREACHABLE, "no other owner is left to ask")
     if query.needs_snapshot and view.paths(shard.service, None):
-        detail = f"no known replica holds snapshot {query.snapshot} any more"
+        detail = f"no replica is known to hold {query.snapshot} any more"
         return verdict.not_run(verdict.Reason.SNAPSHOT_GONE, detail)
-    return verdict.not_run(verdict.Reason.NO_REPLICA, "no data hall can serve the shard")
+    return verdict.not_run(verdict.Reason.NO_REPLICA, "no data hall can serve it")
 
 
 def build_answer(
--- a/src/lineworks/engine/dispatcher.py
+++ b/src/lineworks/engine/dispatcher.py
@@ -137,7 +137,7 @@
             instance: The gatherer.
         """
         lost = [number for number, frame in self._frames.items() if frame.instance == instance]
-        result = verdict.may_have_run(verdict.Reason.LINK_LOST, f"link to {instance} lost")
+        result = verdict.may_have_run(verdict.Reason.LINK_LOST, f"lost {instance}")
         for number in lost:
             self._fail_frame(number, result)
 
--- a/src/lineworks/engine/front.py
+++ b/src/lineworks/engine/front.py
@@ -184,7 +184,7 @@
         admission = self._group_state(query).admission
         admitted = admission.offer(query, query.caller_class, weight, now, query.deadline)
         if admitted is None:
-            self._trace(query, "", "queue", f"{admission.waiting} queued")
+            self._trace(query, "", "queue", f"{admission.waiting} waiting")
         elif admitted.is_ok:
             self._start(query)
         else:
@@ -233,7 +233,7 @@
             if query.only_shard in (None, shard)
         ]
         if not query.needs_snapshot and len(planned) != 1:
-            detail = "the request must name one shard of the service"
+            detail = "name one of the service's shards"
             self._finish(query, verdict.not_run(verdict.Reason.INVALID, detail))
             return False
         query.shards = planned
@@ -252,7 +252,7 @@
             if shard.is_done or shard.pending:
                 continue
             if self._may_wait_for_owner(query):
-                self._trace(query, shard.shard, "wait", "no owner after a membership change")
+                self._trace(query, shard.shard, "wait", "for a new owner")
                 self._set_timer(query, OWNER_RETRY_DELAY, functools.partial(self._resend, shard))
             else:
                 self._fail_shard(
@@ -276,9 +276,7 @@
         result = reply.verdict
         if result.is_ok and query.needs_snapshot and reply.snapshot != query.snapshot:
             self.counters.wrong_snapshot += 1
-            result = verdict.ran(
-                verdict.Reason.SNAPSHOT_GONE, f"the reply came from snapshot {reply.snapshot}"
-            )
+            result = verdict.ran(verdict.Reason.SNAPSHOT_GONE, f"replied from {reply.snapshot}")
         self._trace(query, shard.shard, "reply", f"{result.certainty.value} {result.reason.value}")
         shard.waited = reply.waited
         if result.is_ok:
@@ -323,7 +321,7 @@
         self._dispatcher.cancel_query(query)
         query.has_restarted = True
         self.counters.restarts += 1
-        self._trace(query, "", "restart", f"snapshot {old_snapshot} is no longer held")
+        self._trace(query, "", "restart", f"{old_snapshot} is gone")
         if self._plan(query, excluded=old_snapshot):
             self._send(query, list(range(len(query.shards))))
 
@@ -348,7 +346,7 @@
         completed = sum(1 for shard in query.shards if shard.is_done)
         required = max(query.policy.min_coverage, query.min_coverage or 0.0)
         if completed and completed >= required * len(query.shards):
-            self._mark_timed_out(query, "no reply within the target latency")
+            self._mark_timed_out(query, "no reply within the wanted latency")
             self._finish(query, None)
 
     def _on_deadline(self, query: queries.Query) -> None:
@@ -356,11 +354,9 @@
             return
         if not query.is_started:
             self._group_state(query).admission.remove(query)
-            self._refuse(
-                query, verdict.not_run(verdict.Reason.OVERLOADED, "still queued at the deadline")
-            )
+            self._refuse(query, verdict.not_run(verdict.Reason.OVERLOADED, "waited too long"))
             return
-        self._mark_timed_out(query, "no reply before the deadline")
+        self._mark_timed_out(query, "no reply in time")
         self._finish(query, None)
 
     def _mark_timed_out(self, query: queries.Query, detail: str) -> None:
@@ -422,7 +418,7 @@
         query.is_finished = True
         query.on_answer = _discard_answer
         if query.is_started:
-            self._trace(query, "", "cancel", "the caller disconnected")
+            self._trace(query, "", "cancel", "the caller has gone")
             self._release(query)
             return
         self._group_state(query).admission.remove(query)
--- a/src/lineworks/engine/gatherer.py
+++ b/src/lineworks/engine/gatherer.py
@@ -258,7 +258,7 @@
         if usable:
             sub.is_waiting = True
             self._pool(sub.service).waiting.append(sub)
-            self._trace(sub, "wait", "no replica has free capacity")
+            self._trace(sub, "wait", "no replica has room")
             return
         self._finish(
             sub, sub.failure or sub_query.unavailable_verdict(sub, self._pool(sub.service))
@@ -330,7 +330,7 @@
         result = outcome.verdict
         if result.is_ok and sub_query.is_wrong_snapshot(sub, outcome):
             self.counters.wrong_snapshot += 1
-            detail = f"the target replied from snapshot {outcome.snapshot}"
+            detail = f"the target answered from {outcome.snapshot}"
             result = verdict.ran(verdict.Reason.SNAPSHOT_GONE, detail)
         self._trace(sub, "outcome", f"{result.certainty.value} {result.reason.value}")
         if result.is_ok:
@@ -423,12 +423,10 @@
             if sub.is_done:
                 continue
             if sub.running:
-                result = verdict.may_have_run(
-                    verdict.Reason.DEADLINE, "no reply from the target before the deadline"
-                )
+                result = verdict.may_have_run(verdict.Reason.DEADLINE, "no outcome in time")
             else:
                 result = sub.failure or verdict.not_run(
-                    verdict.Reason.OVERLOADED, "no replica had free capacity before the deadline"
+                    verdict.Reason.OVERLOADED, "no replica had room in time"
                 )
             self._finish(sub, result)
 
--- a/src/lineworks/engine/sub_query.py
+++ b/src/lineworks/engine/sub_query.py
@@ -197,17 +197,13 @@
     """
     available = [replica for replica in pool.replicas if not replica.is_leaving]
     if not pool.replicas:
-        return verdict.not_run(
-            verdict.Reason.NO_REPLICA, "this instance owns no target of the service"
-        )
+        return verdict.not_run(verdict.Reason.NO_REPLICA, "no target is owned here")
     if not available:
         return verdict.not_run(verdict.Reason.LEAVING, "all replicas are leaving")
     snapshot = sub.request.snapshot
     if sub.request.needs_snapshot and not any(snapshot in r.holds for r in available):
-        return verdict.not_run(
-            verdict.Reason.SNAPSHOT_GONE, f"no replica holds snapshot {snapshot}"
-        )
-    return verdict.not_run(verdict.Reason.UNREACHABLE, "all replicas are in backoff")
+        return verdict.not_run(verdict.Reason.SNAPSHOT_GONE, f"no replica holds {snapshot}")
+    return verdict.not_run(verdict.Reason.UNREACHABLE, "all replicas are resting")
 
 
 def is_wrong_snapshot(sub: SubQuery, outcome: ports.Outcome) -> bool:
--- a/src/lineworks/http1/client_connection.py
+++ b/src/lineworks/http1/client_connection.py
@@ -164,7 +164,7 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            problem = f"invalid response: {error}"
+            problem = f"not an answer: {error}"
         complete = self._complete
         self._complete = None
         if complete is not None:
@@ -205,7 +205,7 @@
         """Store a chunk of the body."""
         self._size += len(data)
         if self._size > MAX_BODY_BYTES:
-            raise ValueError(f"response body exceeds {MAX_BODY_BYTES} bytes")
+            raise ValueError("the body is too long")
         self._body.append(data)
 
     def on_message_begin(self) -> None:
