--- a/bench/soak/checkers.py
+++ b/bench/soak/checkers.py
@@ -163,7 +163,7 @@
     records: list[bytes] = []
     for _, attempt, target in named:
         records += http_target.records_of(attempt, target)
-    if call.body != b"".join(parts.greatest(records, TOP)).hex():
+    if call.body != b"".join(parts.top_records(records, TOP)).hex():
         return "other records than the greatest of its parts"
     return ""
 
--- a/src/lineworks/decisions/answer_time.py
+++ b/src/lineworks/decisions/answer_time.py
@@ -16,7 +16,7 @@
 LAG_QUANTILE = 0.9
 """Share of answers at their latest moment that leave within the delay that is kept for it."""
 
-FIRST_LAG = 0.008
+DEFAULT_LAG = 0.008
 """Seconds kept for that delay while too few answers were seen."""
 
 MOST_LAG_SHARE = 0.1
@@ -34,10 +34,10 @@
     without this nearly all searches over 90 shards on small machines came late, and a quiet day was
     worth 0.13 instead of 0.46.
     """
-    return lags.quantile(LAG_QUANTILE) if lags.has_samples else FIRST_LAG
+    return lags.quantile(LAG_QUANTILE) if lags.has_samples else DEFAULT_LAG
 
 
-def answer_due(arrived: float, aim: float, caller_way: float | None, lag: float) -> float:
+def answer_due(arrived: float, slo: float, caller_way: float | None, lag: float) -> float:
     """Tell when an answer must leave to reach its caller within the aim.
 
     Args:
@@ -50,5 +50,5 @@
         A time on the same clock.
     """
     way = USUAL_CALLER_WAY if caller_way is None else caller_way
-    kept = AIM_MARGIN + AIM_SHARE * aim + min(lag, MOST_LAG_SHARE * aim)
-    return arrived + aim - kept - way
+    kept = AIM_MARGIN + AIM_SHARE * slo + min(lag, MOST_LAG_SHARE * slo)
+    return arrived + slo - kept - way
--- a/src/lineworks/decisions/changes.py
+++ b/src/lineworks/decisions/changes.py
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BaseUnknown:
+class UnknownBase:
     """A change is refused because its base is too old, or is not in this chain."""
 
     base: int
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Follow:
+class ApplyChanges:
     """A head may be followed by applying these changes in order."""
 
     changes: tuple[Change, ...]
@@ -103,7 +103,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Whole:
+class LoadManifest:
     """A head is newer than its kept changes reach; the manifest must be read whole."""
 
 
@@ -148,7 +148,7 @@
     return hashlib.sha256(json.dumps(parts).encode()).hexdigest()
 
 
-def conflict(head: Head, base: int, keys: frozenset[str]) -> Conflict | BaseUnknown | None:
+def conflict(head: Head, base: int, keys: frozenset[str]) -> Conflict | UnknownBase | None:
     """Say whether a change based on an older version may still be accepted.
 
     Args:
@@ -163,7 +163,7 @@
         return None
     oldest = head.changes[0].version if head.changes else head.version + 1
     if base > head.version or base + 1 < oldest:
-        return BaseUnknown(base, head.version)
+        return UnknownBase(base, head.version)
     for change in head.changes:
         if change.version <= base:
             continue
@@ -201,7 +201,7 @@
     return Head(version, digest, manifest, kept)
 
 
-def follow(version: int, digest: str, head: Head) -> Follow | Whole | Rejected:
+def follow(version: int, digest: str, head: Head) -> ApplyChanges | LoadManifest | Rejected:
     """Say how an instance gets from its version to a head that it was shown.
 
     Only a higher version whose chain holds the instance's own digest is followed.
@@ -219,18 +219,18 @@
     if head.version == version:
         if head.digest != digest:
             return Rejected("forked", f"another version {version} is in force")
-        return Follow(())
+        return ApplyChanges(())
     broken = _broken_at(head)
     if broken is not None:
         return Rejected("broken", f"the digest of version {broken} does not follow")
     later = tuple(change for change in head.changes if change.version > version)
     if version == 0:
-        return Whole()
+        return LoadManifest()
     if not later or later[0].version != version + 1:
-        return Whole()
+        return LoadManifest()
     if later[0].previous != digest:
         return Rejected("forked", f"version {later[0].version} does not follow the one in force")
-    return Follow(later)
+    return ApplyChanges(later)
 
 
 def _broken_at(head: Head) -> int | None:
--- a/src/lineworks/decisions/coverage.py
+++ b/src/lineworks/decisions/coverage.py
@@ -30,7 +30,7 @@
         return len(self.covered) / total if total else 0.0
 
 
-def judge(coverage: Coverage, policy: catalog.Policy, wanted: float | None) -> verdict.Verdict:
+def evaluate(coverage: Coverage, policy: catalog.Policy, wanted: float | None) -> verdict.Verdict:
     """Decide whether the covered shards make an answer.
 
     Args:
--- a/src/lineworks/decisions/gather_rate.py
+++ b/src/lineworks/decisions/gather_rate.py
@@ -38,7 +38,7 @@
 """Power of the rate by which an instance is drawn: with 1 the many small ones, which have as much
 room together, would get half of all searches while the large ones are idle."""
 
-LEAST_HANDED = 8
+MIN_DELEGATED_SHARDS = 8
 """Shards from which on an instance hands them to a faster one of its own hall: fewer take no
 longer than the message there and back."""
 
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Helper:
+class Candidate:
     """An instance that could ask targets."""
 
     name: str
@@ -88,7 +88,7 @@
     return other > UNKNOWN and one >= UNLIKE * other
 
 
-def are_alike(rates: Sequence[float]) -> bool:
+def are_similar(rates: Sequence[float]) -> bool:
     """Say whether instances are to be treated alike.
 
     Args:
@@ -100,7 +100,7 @@
     return not rates or not is_faster(max(rates), min(rates))
 
 
-def rank(helpers: Sequence[Helper], draw: Callable[[], float]) -> list[str]:
+def rank(helpers: Sequence[Candidate], draw: Callable[[], float]) -> list[str]:
     """Order instances by whom to ask first.
 
     Args:
@@ -110,7 +110,7 @@
     Returns:
         Their names: alike ones by how little they do, others drawn by rate and work.
     """
-    if are_alike([helper.rate for helper in helpers]):
+    if are_similar([helper.rate for helper in helpers]):
         return [one.name for one in sorted(helpers, key=lambda one: (one.open, draw()))]
     return [one.name for one in sorted(helpers, key=lambda one: _turn(one, draw()))]
 
@@ -126,7 +126,7 @@
         A piece for each, of like size where the instances are alike.
     """
     count = len(rates)
-    if are_alike(rates):
+    if are_similar(rates):
         return [list(items[first::count]) for first in range(count)]
     total = sum(rates)
     pieces = []
@@ -140,7 +140,7 @@
     return pieces
 
 
-def _turn(helper: Helper, drawn: float) -> float:
+def _turn(helper: Candidate, drawn: float) -> float:
     """Draw an instance's turn: the smallest of several goes first, in proportion to its weight."""
     weight = (helper.rate / (1 + helper.open)) ** PREFERENCE
     return -math.log(max(drawn, _LEAST_DRAWN)) / weight
--- a/src/lineworks/decisions/members.py
+++ b/src/lineworks/decisions/members.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Listed:
+class ListedInstance:
     """An entry of the platform's list."""
 
     name: str
@@ -69,7 +69,7 @@
                 found[name] = peer.hall
         return dict(sorted(found.items()))
 
-    def on_list(self, listed: Iterable[Listed], now: float) -> None:
+    def on_list(self, listed: Iterable[ListedInstance], now: float) -> None:
         """Take in the platform's list.
 
         Args:
--- a/src/lineworks/decisions/parts.py
+++ b/src/lineworks/decisions/parts.py
@@ -44,7 +44,7 @@
     return [body[at : at + RECORD_BYTES] for at in range(0, end, RECORD_BYTES)]
 
 
-def greatest(records: Iterable[bytes], top: int) -> tuple[bytes, ...]:
+def top_records(records: Iterable[bytes], top: int) -> tuple[bytes, ...]:
     """Keep the greatest records.
 
     Args:
@@ -72,7 +72,7 @@
     for part in parts:
         shards |= part.shards
     stamps = tuple(stamp for part in parts for stamp in part.stamps)
-    records = greatest((record for part in parts for record in part.records), top)
+    records = top_records((record for part in parts for record in part.records), top)
     return Part(frozenset(shards), stamps, records)
 
 
@@ -133,7 +133,7 @@
         return merge(self._parts, self._top)
 
 
-def needed(total: int, least_share: float) -> int:
+def required_shards(total: int, min_coverage: float) -> int:
     """Count the shards that an answer needs.
 
     Args:
@@ -144,6 +144,6 @@
         A number of shards, at least 1.
     """
     count = total
-    while count > 1 and (count - 1) / total >= least_share:
+    while count > 1 and (count - 1) / total >= min_coverage:
         count -= 1
     return count
--- a/src/lineworks/decisions/routes.py
+++ b/src/lineworks/decisions/routes.py
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-ANYWHERE: frozenset[str] = frozenset()
+ANY_REGION: frozenset[str] = frozenset()
 """Home regions of what may be served in any region."""
 
-NOWHERE: frozenset[str] = frozenset(("(none)",))
+NO_REGION: frozenset[str] = frozenset(("(none)",))
 """Home regions of what may be served in no region: no hall stands in it."""
 
 
@@ -69,7 +69,7 @@
     timeout: float
     """Longest time, in seconds, that a request may be held."""
 
-    aim: float
+    slo: float
     """Time, in seconds, within which an answer is worth most to its caller."""
 
     max_attempts: int
@@ -88,10 +88,10 @@
     top: int = 0
     """Records that a search returns."""
 
-    least_share: float = 1.0
+    min_coverage: float = 1.0
     """Share of the shards (0 to 1) that a search's answer needs."""
 
-    homes: frozenset[str] = ANYWHERE
+    homes: frozenset[str] = ANY_REGION
     """Home regions: the only ones in which its requests are served."""
 
     is_public: bool = False
@@ -194,13 +194,13 @@
 
 
 def _common_homes(one: frozenset[str], other: frozenset[str]) -> frozenset[str]:
-    """Find the home regions that both allow; `ANYWHERE` allows all."""
+    """Find the home regions that both allow; `ANY_REGION` allows all."""
     if not one or not other:
         return one or other
-    return one & other or NOWHERE
+    return one & other or NO_REGION
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Divides a route's requests among its services in proportion to their weights.
 
     Smooth weighted round robin: after any number of requests each service has had its share to
--- a/src/lineworks/decisions/stop_times.py
+++ b/src/lineworks/decisions/stop_times.py
@@ -9,7 +9,7 @@
 
 import dataclasses
 
-HAND_OVER_SECONDS = 3.2
+DEREGISTRATION_SECONDS = 3.2
 """Seconds after the signal in which new connections may still come: the balancer asks once a second
 and lets go after two misses."""
 
@@ -25,7 +25,7 @@
 """Seconds before the platform ends the process at which it ends in any case: until then answers
 leave, and callers that had just connected are told to go elsewhere."""
 
-REST_SECONDS = 1.2
+MIN_IDLE_SECONDS = 1.2
 """Seconds without a request after which a stop closes a connection: a caller's first packet that is
 lost comes again after one second (RFC 6298), and takes its way."""
 
@@ -34,7 +34,7 @@
 class StopTimes:
     """The moments of a planned stop, in seconds on the steady clock."""
 
-    hand_over_until: float
+    deregistered_by: float
     """Until when new connections may still come."""
 
     answer_by: float
@@ -55,7 +55,7 @@
         The moments.
     """
     return StopTimes(
-        hand_over_until=now + min(HAND_OVER_SECONDS, MOST_HAND_OVER_SHARE * grace),
+        deregistered_by=now + min(DEREGISTRATION_SECONDS, MOST_HAND_OVER_SHARE * grace),
         answer_by=now + grace - ANSWER_MARGIN,
         end_by=now + grace - END_MARGIN,
     )
--- a/src/lineworks/decisions/work_split.py
+++ b/src/lineworks/decisions/work_split.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-MOST_TOGETHER = 45
+MAX_SHARDS_PER_INSTANCE = 45
 """Shards that one instance asks by itself where others could help: the parts of a search over 90 or
 135 shards then take as long as a third of it would."""
 
@@ -23,5 +23,5 @@
     Returns:
         Pieces, at least 1.
     """
-    wanted = -(-count // MOST_TOGETHER)
+    wanted = -(-count // MAX_SHARDS_PER_INSTANCE)
     return max(1, min(wanted, helpers))
--- a/src/lineworks/engine/front.py
+++ b/src/lineworks/engine/front.py
@@ -360,7 +360,7 @@
         """Answer the caller and release everything that the query holds."""
         query.is_over = True
         reached = judgements.reached(query)
-        found = problem or coverage.judge(reached, query.policy, query.min_coverage)
+        found = problem or coverage.evaluate(reached, query.policy, query.min_coverage)
         bodies = {
             shard.shard: shard.body
             for shard in query.shards
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -66,7 +66,7 @@
         # Requests whose quota is being asked for, each with what refuses it as not run.
         self._asking: dict[_Work, Callable[[], None]] = {}
         self._table: routes.RouteTable | None = None
-        self._turns = routes.WeightedTurns()
+        self._turns = routes.WeightedRoundRobin()
         self._under_way: set[_Work] = set()
         self._waiting: dict[Callable[[], None], Callable[[], None]] = {}
         self.is_complete: Callable[[], bool] = lambda: True
@@ -317,7 +317,7 @@
                 self._shared, route, service, call, care, request.arrived, on_end
             )
         lag = answer_time.answer_lag(self._shared.lags)
-        due = answer_time.answer_due(request.arrived, route.aim, request.caller_way, lag)
+        due = answer_time.answer_due(request.arrived, route.slo, request.caller_way, lag)
         return search.Search(self._shared, route, call, care, due, request.arrived, on_end)
 
     def _start(self, work: _Work) -> None:
@@ -362,7 +362,7 @@
         book = self._shared.book
         services = route.shards or tuple(part.service for part in route.split)
         is_known = any(book.service_time(service) for service in services)
-        usual = max(route.aim, book.usual_answer(services)) if is_known else route.timeout
+        usual = max(route.slo, book.usual_answer(services)) if is_known else route.timeout
         return self._shared.reactor.seconds() + usual <= ends_at
 
     def _finish(
--- a/src/lineworks/forwarding/gatherers.py
+++ b/src/lineworks/forwarding/gatherers.py
@@ -87,7 +87,7 @@
             Their names.
         """
         helpers = [
-            gather_rate.Helper(name, self.rate(name), self._peer(name).open)
+            gather_rate.Candidate(name, self.rate(name), self._peer(name).open)
             for name in self.able(hall)
         ]
         return gather_rate.rank(helpers, self._rng.random)
--- a/src/lineworks/forwarding/planned_stop.py
+++ b/src/lineworks/forwarding/planned_stop.py
@@ -85,8 +85,8 @@
     def _look(self, times: stop_times.StopTimes) -> None:
         """Do what is due, and end when the balancer has let go and no request is under way."""
         now = self._reactor.seconds()
-        if now >= times.hand_over_until:
-            self._close_idle(stop_times.REST_SECONDS)
+        if now >= times.deregistered_by:
+            self._close_idle(stop_times.MIN_IDLE_SECONDS)
         if self._may_end(times, now):
             if self._is_port_closed:
                 self._end()
@@ -98,7 +98,7 @@
         self._reactor.callLater(LOOK_SECONDS, self._look, times)
 
     def _may_end(self, times: stop_times.StopTimes, now: float) -> bool:
-        is_handed_over = now >= times.hand_over_until and not self._callers.connections
+        is_handed_over = now >= times.deregistered_by and not self._callers.connections
         if is_handed_over and self._is_idle:
             return True
         # A process that stood still until then must answer first; one turn lets answers leave.
--- a/src/lineworks/forwarding/request_log.py
+++ b/src/lineworks/forwarding/request_log.py
@@ -85,7 +85,7 @@
             workspace: On whose behalf it came, if that is known.
         """
         seconds = self._reactor.seconds() - request.arrived
-        is_late = route is not None and seconds > route.aim
+        is_late = route is not None and seconds > route.slo
         is_partial = found.covered < found.total
         self._counts.on_end(route, found, seconds, _name(workspace))
         is_good = found.answer.status == 200 and not is_late and not is_partial
@@ -102,7 +102,7 @@
             reason=found.verdict.reason.value,
             detail=found.verdict.detail,
             ms=round(seconds * 1000, 1),
-            aim_ms=round(route.aim * 1000, 1) if route is not None else None,
+            aim_ms=round(route.slo * 1000, 1) if route is not None else None,
             attempts=found.attempts,
             covered=found.covered,
             total=found.total,
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -84,7 +84,7 @@
         self._on_end: Callable[[outcome.Outcome], None] | None = on_end
         self._shards = [search_state.Shard(service) for service in route.shards]
         self._parts = parts.PartSet(len(self._shards), route.top)
-        self._needed = parts.needed(len(self._shards), route.least_share)
+        self._needed = parts.required_shards(len(self._shards), route.min_coverage)
         self._sent = search_attempts.SearchAttempts(
             shared,
             route,
@@ -183,7 +183,7 @@
         line = self._shared.line
         is_off = mechanisms.Mechanism.ROOM_WAIT in self._shared.without
         may_wait = not is_off and not line.is_too_late(self._claim, now)
-        last = self._arrived + WAIT_SHARE * self._route.aim - ROOM_PAUSE
+        last = self._arrived + WAIT_SHARE * self._route.slo - ROOM_PAUSE
         if may_wait and reachable >= self._needed and now < min(last, self._call.deadline):
             self._wait_for_room()
             return
--- a/src/lineworks/forwarding/search_attempts.py
+++ b/src/lineworks/forwarding/search_attempts.py
@@ -92,7 +92,7 @@
         """
         slack = target_book.GOOD_SECONDS
         if not is_hedge and mechanisms.Mechanism.ONE_HALL not in self._shared.without:
-            slack = max(slack, ONE_HALL_SHARE * self._route.aim)
+            slack = max(slack, ONE_HALL_SHARE * self._route.slo)
         left: dict[int, list[tuple[float, target_state.TargetState]]] = {}
         for index in wanted:
             shard = self._shards[index]
@@ -140,9 +140,11 @@
         """
         hall = self._shared.hall
         gatherers = self._shared.gatherers
-        is_many = len(chosen) >= gather_rate.LEAST_HANDED and not is_hedge
+        is_many = len(chosen) >= gather_rate.MIN_DELEGATED_SHARDS and not is_hedge
         peers: list[str] = []
-        if len(chosen) > work_split.MOST_TOGETHER or (is_many and gatherers.has_faster(hall)):
+        if len(chosen) > work_split.MAX_SHARDS_PER_INSTANCE or (
+            is_many and gatherers.has_faster(hall)
+        ):
             peers = gatherers.ranked(hall)
         count = self._pieces(len(chosen), len(peers) + 1, is_hedge)
         # Its own piece last: the messages leave before the processor is busy with calls.
@@ -271,7 +273,7 @@
             return
         self._record(attempt)
         records = parts.split_records(end.response.body)
-        top = parts.greatest(records, self._route.top)
+        top = parts.top_records(records, self._route.top)
         stamp = headers.read_stamp(end.response.headers)
         self._take(parts.Part(frozenset((attempt.shard,)), (stamp,), top), (attempt,))
 
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -63,7 +63,7 @@
         self._shards = shards
         self._found = found
         self._workspace = workspace
-        self._needed = parts.needed(len(shards), route.least_share)
+        self._needed = parts.required_shards(len(shards), route.min_coverage)
         self._began = 0.0
         self._aim_at = 0.0
         self._rechecks = 0
@@ -151,12 +151,12 @@
         """
         one_hedge = self._shared.book.usual_answer(shard.service for shard in self._shards)
         left = self._aim_at - self._began
-        latest = min(MOST_HEDGE_SHARE * self._route.aim, left - HEDGES_IN_TIME * one_hedge)
+        latest = min(MOST_HEDGE_SHARE * self._route.slo, left - HEDGES_IN_TIME * one_hedge)
         return max(self._usual_delay(is_remote), latest)
 
     def _usual_delay(self, is_remote: bool) -> float:
         """Tell after how long an attempt counts as late, whatever time is left."""
-        return self._shared.hedges.delay(self._route.name, is_remote, self._route.aim)
+        return self._shared.hedges.delay(self._route.name, is_remote, self._route.slo)
 
     def _is_due(self, shard: search_state.Shard, now: float) -> bool:
         if len(shard.running) != 1 or shard.sent >= MOST_SENT:
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -78,7 +78,7 @@
             call.workspace,
             route.priority,
             arrived,
-            fair_shares.latest_start(arrived + route.aim, shared.book.service_time(service)),
+            fair_shares.latest_start(arrived + route.slo, shared.book.service_time(service)),
             call.has_quota,
         )
         self._leave_line: Callable[[], None] = lambda: None
@@ -95,7 +95,7 @@
             self._place()
         is_hedged = mechanisms.Mechanism.READ_HEDGES not in shared.without
         if is_hedged and self._route.is_repeatable:
-            delay = shared.hedges.delay(self._route.name, False, self._route.aim)
+            delay = shared.hedges.delay(self._route.name, False, self._route.slo)
             self._set_timer(delay, self._on_hedge)
 
     def known(self) -> verdict.Verdict:
@@ -167,7 +167,7 @@
             return False
         if not self._has_any():
             return False
-        last = self._arrived + WAIT_SHARE * self._route.aim - ROOM_PAUSE
+        last = self._arrived + WAIT_SHARE * self._route.slo - ROOM_PAUSE
         return now < min(last, self._call.deadline)
 
     def _send(self, state: target_state.TargetState, now: float, is_hedge: bool) -> None:
--- a/src/lineworks/forwarding/target_book.py
+++ b/src/lineworks/forwarding/target_book.py
@@ -182,7 +182,7 @@
         service: str,
         now: float,
         excluded: Collection[str],
-        homes: Collection[str] = routes.ANYWHERE,
+        homes: Collection[str] = routes.ANY_REGION,
     ) -> list[target_state.TargetState]:
         """List the targets of a service that may be asked now.
 
@@ -206,7 +206,7 @@
         return lively or able
 
     def _open(
-        self, service: str, homes: Collection[str] = routes.ANYWHERE
+        self, service: str, homes: Collection[str] = routes.ANY_REGION
     ) -> list[target_state.TargetState]:
         """List the targets that may get a request at all, now or when they have room.
 
@@ -270,7 +270,7 @@
         """
         return self._states.get(target)
 
-    def has_any(self, service: str, homes: Collection[str] = routes.ANYWHERE) -> bool:
+    def has_any(self, service: str, homes: Collection[str] = routes.ANY_REGION) -> bool:
         """Say whether a service has a target, in some home regions, that takes new work."""
         return bool(self._open(service, homes))
 
@@ -294,7 +294,7 @@
         service: str,
         now: float,
         excluded: Collection[str],
-        homes: Collection[str] = routes.ANYWHERE,
+        homes: Collection[str] = routes.ANY_REGION,
     ) -> target_state.TargetState | None:
         """Choose the target of a service that should answer first.
 
@@ -314,7 +314,7 @@
         service: str,
         now: float,
         wanted: Collection[str],
-        homes: Collection[str] = routes.ANYWHERE,
+        homes: Collection[str] = routes.ANY_REGION,
     ) -> target_state.TargetState | None:
         """Choose one of some targets of a service.
 
@@ -345,7 +345,7 @@
         Returns:
             The target, or None when none of the hall may be asked.
         """
-        anywhere = routes.ANYWHERE
+        anywhere = routes.ANY_REGION
         found = (
             self._able(service, now, (), anywhere)
             if takes_stalled
@@ -378,7 +378,7 @@
         now: float,
         excluded: Collection[str],
         slack: float,
-        homes: Collection[str] = routes.ANYWHERE,
+        homes: Collection[str] = routes.ANY_REGION,
     ) -> list[tuple[float, target_state.TargetState]]:
         """List the targets of a service that should answer about as fast as the best.
 
--- a/src/lineworks/forwarding/tools.py
+++ b/src/lineworks/forwarding/tools.py
@@ -61,7 +61,7 @@
             found = self._latencies[(route, is_remote)] = estimators.Quantiles()
         found.record(seconds)
 
-    def delay(self, route: str, is_remote: bool, aim: float) -> float:
+    def delay(self, route: str, is_remote: bool, slo: float) -> float:
         """Tell after how long a sub-query is hedged.
 
         Args:
@@ -73,11 +73,11 @@
             Seconds.
         """
         found = self._latencies.get((route, is_remote))
-        most = MOST_HEDGE_SHARE * aim
+        most = MOST_HEDGE_SHARE * slo
         if found is None or not found.has_samples:
             return most
         late = HEDGE_FACTOR * found.quantile(HEDGE_QUANTILE)
-        return min(most, max(LEAST_HEDGE_SHARE * aim, late))
+        return min(most, max(LEAST_HEDGE_SHARE * slo, late))
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/lineworks/platform/configuration.py
+++ b/src/lineworks/platform/configuration.py
@@ -132,14 +132,14 @@
         prefix=item.text("PathPrefix"),
         is_repeatable=kind == _REPEATABLE,
         timeout=timeout,
-        aim=item.number("SloMs", timeout * 1000) / 1000,
+        slo=item.number("SloMs", timeout * 1000) / 1000,
         max_attempts=item.integer("MaxAttempts", 1, least=1),
         priority=item.integer("Priority", 0),
         split=() if shards else _split(item),
         shards=shards,
         top=item.integer("TopK", 0),
         # Despite its name the field holds a share: that of the shards that an answer needs.
-        least_share=item.number("OldestVersion", 1.0),
+        min_coverage=item.number("OldestVersion", 1.0),
         homes=frozenset(item.texts("AllowedRegions")),
         is_public=item.flag("Public", False),
     )
--- a/src/lineworks/programs/_losses.py
+++ b/src/lineworks/programs/_losses.py
@@ -122,8 +122,8 @@
         if fields.get("status") != 200:
             self._failed.add(str(fields.get("id")))
             return self._loss(instance, at, fields, _why_failed(fields), 1.0)
-        aim = _log_lines.number(fields.get("aim_ms"))
-        if aim and _log_lines.number(fields.get("ms")) > aim:
+        slo = _log_lines.number(fields.get("aim_ms"))
+        if slo and _log_lines.number(fields.get("ms")) > slo:
             return self._loss(instance, at, fields, "late", LATE_LOSS)
         total = _log_lines.number(fields.get("total"))
         covered = _log_lines.number(fields.get("covered"))
--- a/src/lineworks/services/config_keeper.py
+++ b/src/lineworks/services/config_keeper.py
@@ -162,7 +162,7 @@
         if isinstance(step, changes.Rejected):
             self._alarm(step.reason, step.detail)
             return
-        if isinstance(step, changes.Whole):
+        if isinstance(step, changes.LoadManifest):
             manifest = await self._store.read_manifest(head.manifest)
             self._put_in_force(head, await self._store.read_items(manifest))
         elif step.changes:
@@ -179,14 +179,14 @@
     def _transfer(self, version: int, digest: str) -> bytes:
         """Write what a peer at a version lacks: changed items, or all where it is too far back."""
         step = changes.follow(version, digest, self._head)
-        if isinstance(step, changes.Follow):
+        if isinstance(step, changes.ApplyChanges):
             wanted, _ = _net(step.changes)
             items = {key: self._items[key] for key in wanted}
         else:
             items = self._items
         document = {
             "head": json.loads(config_store.head_to_json(self._head)),
-            "is_whole": not isinstance(step, changes.Follow),
+            "is_whole": not isinstance(step, changes.ApplyChanges),
             "items": items,
         }
         return json.dumps(document).encode()
@@ -208,7 +208,7 @@
         try:
             if is_whole:
                 self._put_in_force(head, items)
-            elif isinstance(step, changes.Follow) and step.changes:
+            elif isinstance(step, changes.ApplyChanges) and step.changes:
                 _, deleted = _net(step.changes)
                 self._put_in_force(head, _apply(self._items, items, deleted))
         except configuration.ConfigurationError as error:
--- a/src/lineworks/services/config_store.py
+++ b/src/lineworks/services/config_store.py
@@ -246,7 +246,7 @@
         clash = changes.conflict(head, base, frozenset(items))
         if isinstance(clash, changes.Conflict):
             return Refused("conflict", _conflict_detail(clash))
-        if isinstance(clash, changes.BaseUnknown):
+        if isinstance(clash, changes.UnknownBase):
             detail = f"base version {clash.base} is not in reach of version {clash.version}"
             return Refused("base", detail)
         puts = {
--- a/src/lineworks/services/membership.py
+++ b/src/lineworks/services/membership.py
@@ -156,7 +156,9 @@
         self._listed = {member.name: member for member in listed if member.name != self._me.name}
         self._state.on_list(
             [
-                members.Listed(member.name, member.hall, member.incarnation, member.is_leaving)
+                members.ListedInstance(
+                    member.name, member.hall, member.incarnation, member.is_leaving
+                )
                 for member in self._listed.values()
             ],
             now,
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -42,8 +42,8 @@
     return runner.Run(document, seed, runner.POLICIES[policy]())
 
 
-def broken(figures: dict) -> dict[str, int]:
+def violations(figures: dict) -> dict[str, int]:
     return {name: figures[name] for name in check.ZERO_COUNTS if figures[name]}
 
 
-__all__ = ["broken", "clusters", "group", "plan", "run_plan", "service", "target"]
+__all__ = ["clusters", "group", "plan", "run_plan", "service", "target", "violations"]
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -17,14 +17,14 @@
 UNKNOWN = b"key-of-nobody"
 
 
-def route(name="read", is_public=False, priority=3, homes=routes.ANYWHERE):
+def route(name="read", is_public=False, priority=3, homes=routes.ANY_REGION):
     return routes.Route(
         name=name,
         host="x.example",
         prefix=f"/{name}/",
         is_repeatable=True,
         timeout=2.0,
-        aim=0.2,
+        slo=0.2,
         max_attempts=2,
         priority=priority,
         split=(routes.WeightedService("shelf", 1.0),),
@@ -33,7 +33,7 @@
     )
 
 
-def table(*listed, priority=None, homes=routes.ANYWHERE):
+def table(*listed, priority=None, homes=routes.ANY_REGION):
     north = workspaces.Workspace("north", priority, homes=homes)
     found = workspaces.Workspaces([(north, [KNOWN.decode()])])
     return routes.RouteTable(1, listed, [], routes.CallerLimits(), found)
@@ -102,11 +102,11 @@
 @pytest.mark.parametrize(
     ("of_route", "of_workspace", "expected"),
     [
-        ((), (), routes.ANYWHERE),
+        ((), (), routes.ANY_REGION),
         (("akl",), (), {"akl"}),
         ((), ("akl",), {"akl"}),
         (("akl", "wlg"), ("wlg", "chc"), {"wlg"}),
-        (("akl",), ("chc",), routes.NOWHERE),
+        (("akl",), ("chc",), routes.NO_REGION),
     ],
 )
 def test_home_regions_of_route_and_workspace_both_bind(of_route, of_workspace, expected):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -111,7 +111,7 @@
 
 @then("no promise was broken")
 def none_broken(figures):
-    assert builders.broken(figures) == {}
+    assert builders.violations(figures) == {}
 
 
 @then("no promise was broken, but for callers of the killed instance")
@@ -120,7 +120,7 @@
     assert all(not entry.answers for entry in lost)
     # Only what the killed instance had in hand at that moment may stay without an answer.
     assert all(1.0 < entry.sent_at <= 2.0 for entry in lost)
-    assert {name for name in builders.broken(figures) if name != "lost"} == set()
+    assert {name for name in builders.violations(figures) if name != "lost"} == set()
 
 
 @then(parsers.parse("answers were given from {count:d} snapshots"))
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -77,7 +77,7 @@
         shown = self.history[data.draw(st.integers(0, len(self.history) - 1))]
         version, digest = self.instances[which]
         step = changes.follow(version, digest, shown)
-        if isinstance(step, changes.Follow) and step.changes:
+        if isinstance(step, changes.ApplyChanges) and step.changes:
             assert step.changes[0].version == version + 1
         if isinstance(step, changes.Rejected):
             assert shown.version < version
@@ -129,4 +129,4 @@
     for number in range(changes.KEPT_CHANGES + 5):
         head = changes.extend(head, f"c{number}", "x", {"service/a": str(number)}, (), "m")
     found = changes.conflict(head, 1, frozenset({"service/b"}))
-    assert found == changes.BaseUnknown(1, head.version)
+    assert found == changes.UnknownBase(1, head.version)
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -28,7 +28,7 @@
     name: str
     rate: float
     priority: int = 1
-    aim: float = 1.0
+    slo: float = 1.0
     seconds: float = SERVICE_SECONDS
     has_quota: bool = False
 
@@ -60,7 +60,7 @@
             sender.name,
             sender.priority,
             now,
-            now + sender.aim - sender.seconds,
+            now + sender.slo - sender.seconds,
             sender.has_quota,
         )
         if len(self._busy) < slots:
@@ -146,8 +146,8 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_urgent_ones_go_before_long_ones_of_the_same_workspace(seed):
-    urgent = Sender("w", 30.0, priority=0, aim=0.2)
-    long = Sender("w", 60.0, priority=2, aim=2.0)
+    urgent = Sender("w", 30.0, priority=0, slo=0.2)
+    long = Sender("w", 60.0, priority=2, slo=2.0)
     load = Replay([urgent, long], slots=3, seed=seed)
     as_they_come = Replay([urgent, long], slots=3, seed=seed, is_fair=False)
     assert load.share_of(urgent) >= 0.95
@@ -174,8 +174,8 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_what_cannot_be_in_time_takes_no_room_of_what_can(seed):
-    doomed = Sender("w", 60.0, priority=0, aim=0.04)
-    good = Sender("w", 50.0, priority=1, aim=0.2)
+    doomed = Sender("w", 60.0, priority=0, slo=0.04)
+    good = Sender("w", 50.0, priority=1, slo=0.2)
     load = Replay([doomed, good], slots=3, seed=seed)
     as_they_come = Replay([doomed, good], slots=3, seed=seed, is_fair=False)
     assert load.share_of(good) >= 0.9
--- a/tests/test_fault_timelines.py
+++ b/tests/test_fault_timelines.py
@@ -42,7 +42,7 @@
     )
     run = builders.run_plan(plan, seed)
     figures = run.finish()
-    found = builders.broken(figures)
+    found = builders.violations(figures)
     if run.cluster.links.dead:
         # Callers of a killed instance get no answer; nobody may get two.
         found.pop("lost", None)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -57,7 +57,7 @@
     for stamp in stamps:
         target = world.targets[stamp.split(".")[2]]
         records += parts.split_records(target.records(attempt))
-    assert reply.body == b"".join(parts.greatest(records, top))
+    assert reply.body == b"".join(parts.top_records(records, top))
     return missing
 
 
@@ -309,7 +309,7 @@
         world.run(1.0)
     assert len(seen) == 5
     assert max(seen) < 0.001
-    assert answer_time.answer_lag(lags) == answer_time.FIRST_LAG
+    assert answer_time.answer_lag(lags) == answer_time.DEFAULT_LAG
 
 
 def test_a_search_in_part_reaches_its_caller_just_within_the_aim():
--- a/tests/test_gather_rate.py
+++ b/tests/test_gather_rate.py
@@ -16,7 +16,7 @@
 
 def helpers(rates, opened=()):
     return [
-        gather_rate.Helper(f"i{number}", rate, opened[number] if opened else 0)
+        gather_rate.Candidate(f"i{number}", rate, opened[number] if opened else 0)
         for number, rate in enumerate(rates)
     ]
 
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("rates", [[FAST, gather_rate.UNKNOWN], [gather_rate.UNKNOWN] * 2])
 def test_instances_of_unknown_rate_are_treated_alike(rates):
-    assert gather_rate.are_alike(rates)
+    assert gather_rate.are_similar(rates)
     assert not gather_rate.is_faster(*rates)
 
 
@@ -92,7 +92,7 @@
 
 
 def calls_of_searches(world, name, count=40):
-    calls = test_work_split.note_calls(world)
+    calls = test_work_split.count_calls(world)
     for number in range(count):
         attempt = f"{name}-{number}"
         reply = test_work_split.ask(world, name, attempt)
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("fault", ["kill", "freeze"])
 def test_a_search_outlives_the_fast_instance_that_asks_for_it(fault):
     world = build(halls=("akl", "wlg"))
-    calls = test_work_split.note_calls(world)
+    calls = test_work_split.count_calls(world)
     number = 0
     while not calls[f"q{number}"]["akl-2"]:
         number += 1
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -6,7 +6,7 @@
 
 
 def listed(name, incarnation="1", is_leaving=False):
-    return members.Listed(name, "h", incarnation, is_leaving)
+    return members.ListedInstance(name, "h", incarnation, is_leaving)
 
 
 def test_a_listed_instance_counts_for_a_while_without_proof():
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,7 +12,7 @@
 
 def part(shards, records, top=5):
     return parts.Part(
-        frozenset(shards), tuple(f"s{n}" for n in shards), parts.greatest(records, top)
+        frozenset(shards), tuple(f"s{n}" for n in shards), parts.top_records(records, top)
     )
 
 
@@ -31,7 +31,7 @@
 
 def test_equal_records_all_count():
     same = b"x" * 16
-    assert parts.greatest([same, same, same], 2) == (same, same)
+    assert parts.top_records([same, same, same], 2) == (same, same)
 
 
 def test_a_remainder_is_no_record():
@@ -74,7 +74,7 @@
 
 
 def test_the_least_share_is_rounded_up():
-    assert parts.needed(20, 0.89) == 18
-    assert parts.needed(20, 0.75) == 15
-    assert parts.needed(30, 0.89) == 27
-    assert parts.needed(3, 0.0) == 1
+    assert parts.required_shards(20, 0.89) == 18
+    assert parts.required_shards(20, 0.75) == 15
+    assert parts.required_shards(30, 0.89) == 27
+    assert parts.required_shards(3, 0.0) == 1
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -100,7 +100,7 @@
     found = decode()
     route = found.match("x.EXAMPLE", "/a/b")
     assert not route.is_repeatable
-    assert (route.timeout, route.aim, route.max_attempts) == (1.0, 0.111, 2)
+    assert (route.timeout, route.slo, route.max_attempts) == (1.0, 0.111, 2)
     assert [part.service for part in route.split] == ["s"]
     assert found.services["s"].connections == 26
     assert found.limits.header_seconds == 3.0
@@ -117,7 +117,7 @@
         "x.example", "/a/"
     )
     assert route.is_search
-    assert (route.shards, route.top, route.least_share) == (("a", "b"), 5, 0.75)
+    assert (route.shards, route.top, route.min_coverage) == (("a", "b"), 5, 0.75)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -9,7 +9,7 @@
 
 
 def route(name, prefix, host="x.example", **more):
-    usual = {"is_repeatable": True, "timeout": 1.0, "aim": 0.1, "max_attempts": 2, "priority": 1}
+    usual = {"is_repeatable": True, "timeout": 1.0, "slo": 0.1, "max_attempts": 2, "priority": 1}
     return routes.Route(name, host, prefix, **{**usual, **more})
 
 
@@ -40,7 +40,7 @@
 def test_every_part_has_its_share_to_within_one_request(weights, requests):
     parts = tuple(routes.WeightedService(f"s{n}", weight) for n, weight in enumerate(weights))
     split = route("split", "/", split=parts)
-    turns = routes.WeightedTurns()
+    turns = routes.WeightedRoundRobin()
     counts = dict.fromkeys((part.service for part in parts), 0)
     for _ in range(requests):
         counts[turns.choose(split)] += 1
@@ -50,7 +50,7 @@
 
 
 def test_turns_begin_anew_when_a_route_has_other_parts():
-    turns = routes.WeightedTurns()
+    turns = routes.WeightedRoundRobin()
     old = route("r", "/", split=(routes.WeightedService("a", 1), routes.WeightedService("b", 1)))
     new = route("r", "/", split=(routes.WeightedService("b", 1), routes.WeightedService("c", 1)))
     turns.choose(old)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -55,7 +55,7 @@
     stamps = tuple(
         f"{service}.{attempt}.{target}" for service, target in zip(SHARDS, targets, strict=False)
     )
-    body = b"".join(parts.greatest(records, checkers.TOP)).hex()
+    body = b"".join(parts.top_records(records, checkers.TOP)).hex()
     return call(attempt, stamps=stamps, body=body, missing=len(SHARDS) - len(targets))
 
 
--- a/tests/test_work_split.py
+++ b/tests/test_work_split.py
@@ -39,7 +39,7 @@
     return world
 
 
-def note_calls(world):
+def count_calls(world):
     """Count the calls to targets by try and instance."""
     calls = collections.defaultdict(collections.Counter)
     for name, node in world.nodes.items():
@@ -67,7 +67,7 @@
     records = []
     for stamp in stamps:
         records += parts.split_records(world.targets[stamp.split(".")[2]].records(attempt))
-    assert reply.body == b"".join(parts.greatest(records, 50))
+    assert reply.body == b"".join(parts.top_records(records, 50))
     return len(stamps)
 
 
@@ -75,32 +75,32 @@
 def test_no_instance_asks_more_of_a_large_search_than_it_should(halls):
     # One instance asked all 110 targets of its hall, which took some 13 ms of a whole core.
     world = build(halls=halls)
-    calls = note_calls(world)
+    calls = count_calls(world)
     for name in ("akl-0", "wlg-1", "chc-3"):
         reply = ask(world, name, name)
         assert check(world, reply, name) == MANY
         assert sum(calls[name].values()) == MANY
-        assert max(calls[name].values()) <= work_split.MOST_TOGETHER
+        assert max(calls[name].values()) <= work_split.MAX_SHARDS_PER_INSTANCE
     assert not sum(node._counters.hedges for node in world.nodes.values())
 
 
 def test_without_the_mechanism_one_instance_asks_all():
     world = build(without=[mechanisms.Mechanism.WORK_SPLIT])
-    calls = note_calls(world)
+    calls = count_calls(world)
     check(world, ask(world, "akl-0", "q"), "q")
     assert max(calls["q"].values()) == MANY
 
 
 def test_a_small_search_stays_in_one_piece():
-    world = build(shards=work_split.MOST_TOGETHER)
-    calls = note_calls(world)
-    check(world, ask(world, "akl-0", "q"), "q", work_split.MOST_TOGETHER)
-    assert dict(calls["q"]) == {"akl-0": work_split.MOST_TOGETHER}
+    world = build(shards=work_split.MAX_SHARDS_PER_INSTANCE)
+    calls = count_calls(world)
+    check(world, ask(world, "akl-0", "q"), "q", work_split.MAX_SHARDS_PER_INSTANCE)
+    assert dict(calls["q"]) == {"akl-0": work_split.MAX_SHARDS_PER_INSTANCE}
 
 
 def test_an_instance_alone_in_its_hall_asks_all_by_itself():
     world = build(nodes=1)
-    calls = note_calls(world)
+    calls = count_calls(world)
     assert check(world, ask(world, "akl-0", "q"), "q") == MANY
     assert dict(calls["q"]) == {"akl-0": MANY}
 
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("fault", ["kill", "freeze"])
 def test_a_helper_that_is_lost_costs_no_answer_and_brings_no_shard_in_twice(fault):
     world = build(work=lambda: 0.03)
-    calls = note_calls(world)
+    calls = count_calls(world)
     reply = world.ask("akl-0", "/search/q", attempt="q")
     world.run(0.015)
     helper = next(name for name in calls["q"] if name != "akl-0")
@@ -128,7 +128,7 @@
     assert sorted(item for piece in found for item in piece) == items
     sizes = [len(piece) for piece in found]
     assert max(sizes) - min(sizes) <= 1
-    assert len(items) > work_split.MOST_TOGETHER or count == 1
+    assert len(items) > work_split.MAX_SHARDS_PER_INSTANCE or count == 1
 
 
 def test_shards_that_are_only_somewhat_slower_at_home_are_asked_directly_there():
@@ -139,7 +139,7 @@
         if target.hall == ("wlg" if target.service < "s010" else "chc"):
             world.withdraw(target)
     world.run(3.0)
-    calls = note_calls(world)
+    calls = count_calls(world)
     front = world.nodes["akl-0"]
     now = world.clock.seconds()
     for state in front._book.states:
