--- a/src/lineworks/decisions/__init__.py
+++ b/src/lineworks/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: no sockets, no clock, no global randomness."""
+"""Pure decision logic: no sockets, no clock and no global randomness."""
--- a/src/lineworks/decisions/catalog.py
+++ b/src/lineworks/decisions/catalog.py
@@ -1,7 +1,8 @@
-"""The accepted configuration as the decisions see it: services, targets, groups and selectors.
+"""The accepted configuration as used by the decisions: services, targets, groups and selectors.
 
-The border model is `lineworks.models.configuration`; these are the plain data classes made
-from it. All of them are immutable, so a query keeps the catalog that it was admitted under.
+Input is validated by the models in `lineworks.models.configuration`, from which these plain data
+classes are built. All of them are immutable, so a query keeps the catalog under which it was
+admitted.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
     from collections.abc import Mapping
 
 BASE_LAYOUT = "base"
-"""The layout that a service falls back to when it does not name a layout itself."""
+"""Layout that is used for services without the requested layout."""
 
 
 class Snapshot(NamedTuple):
-    """One version of an index together with the layout of its shards.
+    """A version of an index together with the layout of its shards.
 
     Snapshots compare by version, then by layout name.
     """
 
     version: int
-    """Index version; a later version is newer."""
+    """Index version; a higher version is newer."""
 
     layout: str
     """Name of the shard layout."""
@@ -33,7 +34,7 @@
 
 
 def parse_snapshot(text: str) -> Snapshot:
-    """Read the form `VERSION@LAYOUT`.
+    """Parse a snapshot in the form `VERSION@LAYOUT`.
 
     Args:
         text: For example `7@base`.
@@ -42,7 +43,7 @@
         The snapshot.
 
     Raises:
-        ValueError: The text has another form.
+        ValueError: The text does not have this form.
     """
     version, at, layout = text.partition("@")
     if not at or not layout or not version.isdecimal():
@@ -51,7 +52,7 @@
 
 
 def parse_snapshots(text: str) -> frozenset[Snapshot]:
-    """Read snapshots joined by commas.
+    """Parse snapshots separated by commas.
 
     Args:
         text: For example `7@base,6@base`; empty for none.
@@ -60,23 +61,23 @@
         The snapshots.
 
     Raises:
-        ValueError: A part is not a snapshot.
+        ValueError: An element is not a snapshot.
     """
     return frozenset(parse_snapshot(part) for part in text.split(",") if part)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """One replica of a service: a process that answers sub-queries."""
+    """One replica of a service: a server that answers sub-queries."""
 
     name: str
     """Unique name."""
 
     service: str
-    """Name of the service that it serves."""
+    """Name of the service that it belongs to."""
 
     hall: str
-    """Data hall that it stands in."""
+    """Data hall in which it runs."""
 
     host: str
     """IP address."""
@@ -85,39 +86,39 @@
     """TCP port."""
 
     slots: int
-    """Requests that it works on at once."""
+    """Requests that it processes concurrently."""
 
     connections: int
-    """Connections that it accepts at once, from all instances together."""
+    """Concurrent connections that it accepts, from all instances together."""
 
     is_leaving: bool = False
-    """Whether the operators are taking it away."""
+    """Whether the operators are removing it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A set of replicas that all hold the same shards."""
+    """A set of replicas that hold the same shards."""
 
     name: str
     """Unique name."""
 
     labels: Mapping[str, str]
-    """Labels that groups select by."""
+    """Labels that selectors match to form groups."""
 
     layouts: Mapping[str, tuple[str, ...]]
-    """For each layout, the names of the service's shards."""
+    """Names of the service's shards by layout."""
 
     targets: tuple[Target, ...]
     """The replicas."""
 
     def shards(self, layout: str) -> tuple[str, ...]:
-        """Name the service's shards under a layout.
+        """Return the names of the service's shards under a layout.
 
         Args:
             layout: Name of the layout.
 
         Returns:
-            The shards of that layout, or of the base layout where the service has no such one.
+            The shards of that layout, or of the base layout if the service does not define it.
         """
         found = self.layouts.get(layout)
         return self.layouts[BASE_LAYOUT] if found is None else found
@@ -125,62 +126,62 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """What a selector promises to its callers."""
+    """Service level that a selector gives its callers."""
 
     min_coverage: float = 1.0
-    """Share of shards (0 to 1) below which the answer is a refusal."""
+    """Share of shards (0 to 1) below which a query is refused."""
 
     allows_partial: bool = False
-    """Whether an answer may lack shards at all."""
+    """Whether an answer may be incomplete at all."""
 
     target_latency: float = 0.5
-    """Seconds within which the operators want an answer."""
+    """Seconds within which queries should be answered."""
 
     hedge_budget: float = 0.02
-    """Hedges allowed, as a share of sub-queries."""
+    """Maximum hedges, as a share of sub-queries."""
 
     retry_budget: float = 0.1
-    """Retries allowed, as a share of sub-queries."""
+    """Maximum retries, as a share of sub-queries."""
 
     weight: float = 1.0
-    """Share of the admission queue relative to other classes."""
+    """Weight of this class in the admission queue, relative to other classes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Selector:
-    """A rule that says which group serves which query."""
+    """A rule that maps matching queries to a group."""
 
     name: str
     """Unique name."""
 
     match: Mapping[str, str]
-    """Query fields, each with the value it must have."""
+    """Query fields with the values that they must have."""
 
     group: Mapping[str, str]
-    """Labels that a service must carry to belong to the group."""
+    """Labels that a service must have to belong to the group."""
 
     policy: Policy
-    """What the callers are promised."""
+    """Service level for the matching queries."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Group:
-    """The services that one selector reaches."""
+    """The services that a selector refers to."""
 
     name: str
     """Canonical text of the label selector."""
 
     services: tuple[Service, ...]
-    """Its services, by name."""
+    """Its services, sorted by name."""
 
     def shards(self, layout: str) -> tuple[tuple[Service, str], ...]:
-        """List every shard under a layout with the service that holds it.
+        """Return all shards under a layout, each with the service that holds it.
 
         Args:
             layout: Name of the layout.
 
         Returns:
-            Pairs of service and shard name, in order of service.
+            Pairs of service and shard name, in the order of the services.
         """
         return tuple(
             (service, shard) for service in self.services for shard in service.shards(layout)
@@ -189,10 +190,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Catalog:
-    """One accepted version of the whole configuration."""
+    """An accepted version of the complete configuration."""
 
     version: int
-    """Number of the accepted change that made it; 0 is the empty configuration."""
+    """Number of the accepted change that created it; 0 is the empty configuration."""
 
     digest: str
     """Digest of the chain of changes up to this version."""
@@ -206,13 +207,13 @@
     _groups: dict[str, Group] = dataclasses.field(default_factory=dict, repr=False, compare=False)
 
     def group(self, labels: Mapping[str, str]) -> Group:
-        """Find the services that carry all of the labels.
+        """Return the services that have all of the labels.
 
         Args:
-            labels: Label names with the values wanted.
+            labels: Required label values by label name.
 
         Returns:
-            The group; it has no services when none carries them.
+            The group; it is empty if no service has all of them.
         """
         name = group_name(labels)
         found = self._groups.get(name)
@@ -227,28 +228,28 @@
         return found
 
     def service_group(self, service: str) -> Group:
-        """Make the group of a single service.
+        """Create a group for a single service.
 
         Args:
-            service: Name of a known service.
+            service: Name of a service in the catalog.
 
         Returns:
-            A group that holds only it.
+            A group that contains only this service.
         """
         return Group(f"service={service}", (self.services[service],))
 
 
 EMPTY = Catalog(version=0, digest="", services={}, selectors=())
-"""The configuration before any change."""
+"""The configuration before the first change."""
 
 
 def group_name(labels: Mapping[str, str]) -> str:
-    """Write a label selector in its canonical form.
+    """Format a label selector in its canonical form.
 
     Args:
-        labels: Label names with values.
+        labels: Label values by label name.
 
     Returns:
-        `name=value` pairs sorted by name and joined by commas.
+        `name=value` pairs, sorted by name and separated by commas.
     """
     return ",".join(f"{name}={value}" for name, value in sorted(labels.items()))
--- a/src/lineworks/decisions/changes.py
+++ b/src/lineworks/decisions/changes.py
@@ -1,9 +1,9 @@
-"""The chain of configuration changes, and when a head may be followed.
+"""The chain of configuration changes, and when an instance may adopt a new head.
 
-Each change names its base version and the keys that it touches. The digest of version n+1 is
-the SHA-256 of the digest of version n and the change, so a digest stands for a whole history, as
-in Kang, Wilensky and Kubiatowicz's summary hash history. What is used of that idea, and what is
-not, is weighed in docs/design/configuration.md.
+Each change is made against a base version and lists the keys that it modifies. The digest of
+version n+1 is the SHA-256 of the digest of version n and of the change, so a digest identifies a
+complete history, as in the summary hash history of Kang, Wilensky and Kubiatowicz.
+docs/design/configuration.md discusses which parts of that design are used.
 """
 
 from __future__ import annotations
@@ -17,109 +17,111 @@
     from collections.abc import Mapping
 
 KEPT_CHANGES = 64
-"""Changes that the head carries with their content digests."""
+"""Number of recent changes that the head includes, with their content digests."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """One accepted change."""
+    """An accepted change."""
 
     id: str
-    """Identity chosen by its writer, unique; it settles a write whose reply was lost."""
+    """Unique identifier chosen by the writer. It tells whether a write took effect if the reply was
+    lost."""
 
     version: int
-    """Version that it made."""
+    """Version that it created."""
 
     previous: str
-    """Digest of the version before."""
+    """Digest of the preceding version."""
 
     digest: str
-    """Digest of this version."""
+    """Digest of the version that it created."""
 
     author: str
-    """Who made it."""
+    """Author of the change."""
 
     puts: Mapping[str, str]
-    """Keys put, each with the SHA-256 of the item's content."""
+    """SHA-256 of the item content by key, for the keys written."""
 
     deletes: tuple[str, ...]
     """Keys deleted."""
 
     @property
     def keys(self) -> frozenset[str]:
-        """All keys that the change touches."""
+        """All keys that the change writes or deletes."""
         return frozenset(self.puts) | frozenset(self.deletes)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """The newest version, as kept in the platform under one key."""
+    """The newest version, as stored in the platform under one key."""
 
     version: int
-    """Version in force."""
+    """Number of the version."""
 
     digest: str
     """Its digest."""
 
     manifest: str
-    """SHA-256 of the manifest: every key with its content digest."""
+    """SHA-256 of the manifest, which lists every key with its content digest."""
 
     changes: tuple[Change, ...]
-    """The last changes, oldest first."""
+    """The most recent changes, oldest first."""
 
 
 EMPTY_HEAD = Head(0, "", "", ())
-"""The head before any change."""
+"""The head before the first change."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """A change is refused because an accepted one touched the same keys."""
+    """A change is refused because an accepted change modified the same keys."""
 
     winner: Change
-    """The accepted change."""
+    """The change that was accepted."""
 
     keys: tuple[str, ...]
-    """The keys that both touch."""
+    """The keys that both changes modify."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnknownBase:
-    """A change is refused because its base is too old, or is not in this chain."""
+    """A change is refused because its base version is too old or not part of this chain."""
 
     base: int
-    """The base version that it named."""
+    """The base version of the refused change."""
 
     version: int
-    """The version in force."""
+    """The current version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApplyChanges:
-    """A head may be followed by applying these changes in order."""
+    """The head is reached by applying these changes in order."""
 
     changes: tuple[Change, ...]
-    """Changes after the version in force; empty when there are none."""
+    """Changes after the active version; empty if it is already that of the head."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadManifest:
-    """A head is newer than its kept changes reach; the manifest must be read whole."""
+    """The complete manifest must be loaded, because the head's recent changes do not reach back far
+    enough."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """A head must not be followed."""
+    """The head must not be adopted."""
 
     reason: str
     """`older`, `forked` or `broken`."""
 
     detail: str
-    """One sentence for people."""
+    """Explanation in one sentence, not meant to be parsed."""
 
 
 def content_digest(content: str) -> str:
-    """Digest an item or a manifest.
+    """Compute the digest of an item or a manifest.
 
     Args:
         content: Its canonical JSON.
@@ -133,12 +135,12 @@
 def chain_digest(
     previous: str, change_id: str, puts: Mapping[str, str], deletes: tuple[str, ...]
 ) -> str:
-    """Digest a version from the one before.
+    """Compute the digest of a version from the preceding one.
 
     Args:
-        previous: Digest of the version before.
-        change_id: Identity of the change.
-        puts: Keys put, with content digests.
+        previous: Digest of the preceding version.
+        change_id: Identifier of the change.
+        puts: Content digests of the keys written.
         deletes: Keys deleted.
 
     Returns:
@@ -149,15 +151,15 @@
 
 
 def conflict(head: Head, base: int, keys: frozenset[str]) -> Conflict | UnknownBase | None:
-    """Say whether a change based on an older version may still be accepted.
+    """Check whether a change that is based on an older version conflicts with later changes.
 
     Args:
         head: The newest head.
-        base: Version that the change was made against.
-        keys: Keys that it touches.
+        base: Version on which the change is based.
+        keys: Keys that it modifies.
 
     Returns:
-        None when every change since its base is disjoint from it, else why it is refused.
+        None if no change since the base modifies any of the keys; otherwise why it is refused.
     """
     if base == head.version:
         return None
@@ -181,13 +183,13 @@
     deletes: tuple[str, ...],
     manifest: str,
 ) -> Head:
-    """Make the head that follows when a change is accepted.
+    """Create the next head from an accepted change.
 
     Args:
-        head: The head that it follows.
-        change_id: Identity of the change.
-        author: Who makes it.
-        puts: Keys put, with content digests.
+        head: The current head.
+        change_id: Identifier of the change.
+        author: Author of the change.
+        puts: Content digests of the keys written.
         deletes: Keys deleted.
         manifest: Digest of the manifest after the change.
 
@@ -202,39 +204,42 @@
 
 
 def follow(version: int, digest: str, head: Head) -> ApplyChanges | LoadManifest | Rejected:
-    """Say how an instance gets from its version to a head that it was shown.
+    """Determine how an instance can move from its version to a given head.
 
-    Only a higher version whose chain holds the instance's own digest is followed.
+    A head is adopted only if its version is higher and its chain includes the instance's own
+    digest, as far back as the recent changes in the head reach.
 
     Args:
-        version: Version in force at the instance.
-        digest: Its digest.
-        head: The head.
+        version: Version that is active at the instance.
+        digest: Digest of that version.
+        head: The head to move to.
 
     Returns:
-        The changes to apply, or that the manifest must be read, or why the head is kept out.
+        The changes to apply, or that the manifest must be loaded, or why the head is rejected.
     """
     if head.version < version:
-        return Rejected("older", f"version {head.version} is older than {version} in force")
+        return Rejected(
+            "older", f"version {head.version} is older than the active version {version}"
+        )
     if head.version == version:
         if head.digest != digest:
-            return Rejected("forked", f"another version {version} is in force")
+            return Rejected("forked", f"the active version {version} has a different digest")
         return ApplyChanges(())
-    broken = _broken_at(head)
-    if broken is not None:
-        return Rejected("broken", f"the digest of version {broken} does not follow")
+    inconsistent = _first_inconsistent(head)
+    if inconsistent is not None:
+        return Rejected("broken", f"the digest of version {inconsistent} does not match the chain")
     later = tuple(change for change in head.changes if change.version > version)
     if version == 0:
         return LoadManifest()
     if not later or later[0].version != version + 1:
         return LoadManifest()
     if later[0].previous != digest:
-        return Rejected("forked", f"version {later[0].version} does not follow the one in force")
+        return Rejected("forked", f"version {later[0].version} is not based on the active version")
     return ApplyChanges(later)
 
 
-def _broken_at(head: Head) -> int | None:
-    """Find the first kept change whose digest does not follow from its content."""
+def _first_inconsistent(head: Head) -> int | None:
+    """Return the first version in the chain whose digest is inconsistent, or None."""
     previous: str | None = None
     for change in head.changes:
         expected = chain_digest(change.previous, change.id, change.puts, change.deletes)
--- a/src/lineworks/decisions/coverage.py
+++ b/src/lineworks/decisions/coverage.py
@@ -1,4 +1,4 @@
-"""Whether a set of shard outcomes is an answer, and how it is described."""
+"""Whether a set of shard outcomes is sufficient for an answer, and how the answer describes it."""
 
 from __future__ import annotations
 
@@ -15,44 +15,47 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Coverage:
-    """Which shards an answer covers and which it lacks."""
+    """The shards that an answer includes and those that are missing from it."""
 
     covered: tuple[str, ...]
     """Shards whose reply is part of the answer."""
 
     lacking: Mapping[str, verdict.Verdict]
-    """Shards without a reply, each with the reason."""
+    """Missing shards, each with the verdict that explains why."""
 
     @property
     def share(self) -> float:
-        """Covered shards over all shards; 0 when there are none."""
+        """Covered shards divided by all shards; 0 if there are none."""
         total = len(self.covered) + len(self.lacking)
         return len(self.covered) / total if total else 0.0
 
 
-def evaluate(coverage: Coverage, policy: catalog.Policy, wanted: float | None) -> verdict.Verdict:
-    """Decide whether the covered shards make an answer.
+def evaluate(
+    coverage: Coverage, policy: catalog.Policy, requested: float | None
+) -> verdict.Verdict:
+    """Decide whether the covered shards are sufficient for an answer.
 
     Args:
-        coverage: What was reached.
-        policy: The selector's promise.
-        wanted: Minimum coverage asked for by the caller (0 to 1), which may only raise the
-            policy's, or None.
+        coverage: The shards covered and those missing.
+        policy: The selector's policy.
+        requested: Minimum coverage requested by the caller (0 to 1), or None. It can raise the
+            policy's minimum but not lower it.
 
     Returns:
-        OK for an answer; otherwise what is known of the query, with reason `COVERAGE`, or with
-        the shards' own reason when all lacking shards share one and nothing ran.
+        OK if the coverage is sufficient. Otherwise a verdict with the combined certainty of the
+        missing shards, or `RAN` if any shard was covered. Its reason is the one that all missing
+        shards share, or `COVERAGE` if they differ.
     """
-    minimum = max(policy.min_coverage, wanted or 0.0)
+    minimum = max(policy.min_coverage, requested or 0.0)
     if not policy.allows_partial:
         minimum = 1.0
     if coverage.covered and coverage.share >= minimum:
         return verdict.OK
-    parts = list(coverage.lacking.values())
-    certainty = verdict.combine(parts)
+    missing = list(coverage.lacking.values())
+    certainty = verdict.combine(missing)
     if coverage.covered:
         certainty = verdict.Certainty.RAN
-    reasons = {part.reason for part in parts}
+    reasons = {one.reason for one in missing}
     reason = reasons.pop() if len(reasons) == 1 else verdict.Reason.COVERAGE
-    detail = f"{len(coverage.covered)} of {len(coverage.covered) + len(parts)} shards answered"
+    detail = f"{len(coverage.covered)} of {len(coverage.covered) + len(missing)} shards answered"
     return verdict.Verdict(certainty, reason, detail)
--- a/src/lineworks/decisions/gather_rate.py
+++ b/src/lineworks/decisions/gather_rate.py
@@ -1,13 +1,14 @@
-"""Which instances ask a hall's targets for a search, where instances differ in processor and link.
+"""Which instances of a data hall query its targets for a search when instances differ in capacity.
 
-A few instances have several times the processor and the link of all others, and searches arrive at
-any of them. A search over a hundred shards that arrives at a small one takes more time in its
-processor and on its link than at the targets. The large ones then ask the targets, and the small
-one only merges what they bring. Which of them asks is drawn at random, the more likely the faster
-it is and the less it already does for this instance. So none gets all work, and a smaller one takes
-over where the large ones are busy or gone.
+A few instances may have several times the processor and network bandwidth of the others, while
+searches arrive at any of them. A search over a hundred shards that arrives at a small instance
+spends more time on that instance's processor and link than at the targets. The large instances
+therefore query the targets, and the small one only merges the parts that they return. The instance
+is drawn at random, weighted by its rate and by how little work it already does for the requesting
+instance. This way no instance gets all of the work, and smaller ones take over when the large ones
+are busy or unavailable.
 
-Instances that are much alike, or of which nothing is known, are treated alike.
+Instances of similar or unknown capacity are treated as equal.
 """
 
 from __future__ import annotations
@@ -22,108 +23,112 @@
 _Item = TypeVar("_Item")
 
 UNKNOWN = 0.0
-"""Rate of an instance that tells none."""
+"""Rate of an instance that does not report one."""
 
 SHARD_SECONDS = 0.0003
-"""Seconds of a whole core that it takes to ask one shard and to merge its part."""
+"""Processor time, in seconds of one core, to query one shard and to merge its part."""
 
 SHARD_BITS = 5000.0
-"""Bits of a request to a target, or of its answer: a few hundred bytes with their headers."""
+"""Bits of a request to a target or of its answer: a few hundred bytes including headers."""
 
-UNLIKE = 2.0
-"""How many times faster than another an instance must be to be preferred to it. Handing work over
-costs a message there and back, which smaller differences don't pay for."""
+MIN_SPEED_RATIO = 2.0
+"""How many times faster than another an instance must be to be preferred. Delegating work costs a
+message round trip, which a smaller difference does not make up for."""
 
-PREFERENCE = 2.0
-"""Power of the rate by which an instance is drawn: with 1 the many small ones, which have as much
-room together, would get half of all searches while the large ones are idle."""
+RATE_EXPONENT = 2.0
+"""Exponent applied to the rate when an instance is drawn. With 1, the many small instances, which
+together have as much capacity as the large ones, would get half of all searches while the large
+ones are idle."""
 
 MIN_DELEGATED_SHARDS = 8
-"""Shards from which on an instance hands them to a faster one of its own hall: fewer take no
-longer than the message there and back."""
+"""Fewest shards that an instance delegates to a faster one of its own hall. Querying fewer takes no
+longer than the message round trip."""
 
-_LEAST_DRAWN = 1e-12
-"""Least number drawn that counts, since 0 has no logarithm."""
+_MIN_DRAW = 1e-12
+"""Lower bound of a random draw, since the logarithm of 0 is undefined."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """An instance that could ask targets."""
+    """An instance that could query the targets."""
 
     name: str
-    """Its name."""
+    """Name of the instance."""
 
     rate: float
-    """Shards a second that it can ask; `UNKNOWN` where it does not tell."""
+    """Shards per second that it can query; `UNKNOWN` if it does not report this."""
 
     open: int
-    """Queries that it works on for the instance that chooses."""
+    """Outstanding queries that it handles for the instance that chooses."""
 
 
 def rate(processor: float, link: float) -> float:
-    """Tell how many shards an instance can ask in a second.
+    """Compute how many shards an instance can query per second.
 
     Args:
-        processor: Its processor, in cores.
-        link: Bits a second of its link.
+        processor: Its processor capacity, in cores.
+        link: Its network bandwidth, in bits per second.
 
     Returns:
-        Shards a second; `UNKNOWN` where either is not known.
+        Shards per second; `UNKNOWN` if either argument is not known.
     """
     if processor <= 0 or link <= 0:
         return UNKNOWN
     return 1.0 / (SHARD_SECONDS / processor + SHARD_BITS / link)
 
 
-def is_faster(one: float, other: float) -> bool:
-    """Say whether an instance is so much faster than another that work is handed to it.
+def is_faster(rate: float, other: float) -> bool:
+    """Return whether an instance is fast enough to take over work from another one.
 
     Args:
-        one: Its rate.
-        other: Rate of the other.
+        rate: Rate of the instance, in shards per second.
+        other: Rate of the other instance.
 
     Returns:
-        False where either is unknown.
+        True if the first rate is at least `MIN_SPEED_RATIO` times the other; False if either is
+        unknown.
     """
-    return other > UNKNOWN and one >= UNLIKE * other
+    return other > UNKNOWN and rate >= MIN_SPEED_RATIO * other
 
 
 def are_similar(rates: Sequence[float]) -> bool:
-    """Say whether instances are to be treated alike.
+    """Return whether instances are to be treated as equal.
 
     Args:
         rates: Their rates.
 
     Returns:
-        Whether no one is much faster than another, as far as is known.
+        True if none of them is known to be `MIN_SPEED_RATIO` times as fast as another.
     """
     return not rates or not is_faster(max(rates), min(rates))
 
 
-def rank(helpers: Sequence[Candidate], draw: Callable[[], float]) -> list[str]:
-    """Order instances by whom to ask first.
+def rank(candidates: Sequence[Candidate], draw: Callable[[], float]) -> list[str]:
+    """Order instances by preference.
 
     Args:
-        helpers: The instances.
-        draw: Draws a number from 0 to 1.
+        candidates: The instances.
+        draw: Draws a random number between 0 and 1.
 
     Returns:
-        Their names: alike ones by how little they do, others drawn by rate and work.
+        Their names, preferred first. Similar instances are ordered by outstanding work with random
+        tie-breaking; otherwise the order is drawn at random, weighted by rate and outstanding work.
     """
-    if are_similar([helper.rate for helper in helpers]):
-        return [one.name for one in sorted(helpers, key=lambda one: (one.open, draw()))]
-    return [one.name for one in sorted(helpers, key=lambda one: _turn(one, draw()))]
+    if are_similar([candidate.rate for candidate in candidates]):
+        return [one.name for one in sorted(candidates, key=lambda one: (one.open, draw()))]
+    return [one.name for one in sorted(candidates, key=lambda one: _sampling_key(one, draw()))]
 
 
 def divide(items: Sequence[_Item], rates: Sequence[float]) -> list[list[_Item]]:
-    """Divide items into pieces that take about as long each.
+    """Partition items so that all instances take about the same time.
 
     Args:
         items: The items.
-        rates: Rate of each instance that takes a piece; one at least.
+        rates: Rate of each instance that takes a piece; at least one.
 
     Returns:
-        A piece for each, of like size where the instances are alike.
+        One piece per instance, in the order of `rates`; of nearly equal size if the instances are
+        similar.
     """
     count = len(rates)
     if are_similar(rates):
@@ -131,16 +136,19 @@
     total = sum(rates)
     pieces = []
     begin = 0
-    share = 0.0
+    cumulative = 0.0
     for one in rates:
-        share += one
-        end = round(len(items) * share / total)
+        cumulative += one
+        end = round(len(items) * cumulative / total)
         pieces.append(list(items[begin:end]))
         begin = end
     return pieces
 
 
-def _turn(helper: Candidate, drawn: float) -> float:
-    """Draw an instance's turn: the smallest of several goes first, in proportion to its weight."""
-    weight = (helper.rate / (1 + helper.open)) ** PREFERENCE
-    return -math.log(max(drawn, _LEAST_DRAWN)) / weight
+def _sampling_key(candidate: Candidate, drawn: float) -> float:
+    """Compute an exponentially distributed sort key.
+
+    The candidate with the smallest key comes first, with a probability proportional to its weight.
+    """
+    weight = (candidate.rate / (1 + candidate.open)) ** RATE_EXPONENT
+    return -math.log(max(drawn, _MIN_DRAW)) / weight
--- a/src/lineworks/decisions/mechanisms.py
+++ b/src/lineworks/decisions/mechanisms.py
@@ -1,7 +1,7 @@
-"""Mechanisms of the platform's path that can be switched off, to measure what each is worth.
+"""Mechanisms of request forwarding that can be disabled to measure their benefit.
 
-All are on unless the process's own setting names them. None that can be switched off guards a
-promise: without them requests are served worse, never wrongly.
+All are enabled unless the settings of the process name them. Correctness depends on none of them:
+without one, requests are served less well but never incorrectly.
 """
 
 from __future__ import annotations
@@ -10,79 +10,81 @@
 
 
 class Mechanism(enum.Enum):
-    """What can be switched off."""
+    """A mechanism that can be disabled."""
 
     SEARCH_HEDGES = "search_hedges"
-    """Second attempts at late shards of a search."""
+    """Sends second attempts for slow shards of a search."""
 
     READ_HEDGES = "read_hedges"
-    """Second attempts at late requests to one target."""
+    """Sends second attempts for slow requests to a single target."""
 
     LOAD_REPORTS = "load_reports"
-    """Targets are chosen by the work that they have, own and reported."""
+    """Chooses targets by load: the instance's own outstanding requests and the load they report."""
 
     SLOW_AVOIDANCE = "slow_avoidance"
-    """Targets are chosen by how long they took lately, and stalled ones are passed over."""
+    """Chooses targets by recent latency, and skips stalled ones."""
 
     MERGE = "merge"
-    """Gatherers merge the parts of several shards before they travel."""
+    """Lets gatherers merge the parts of several shards before sending them."""
 
     ONE_HALL = "one_hall"
-    """A somewhat slower target is asked when that saves asking one more hall."""
+    """Prefers a slightly slower target if that avoids querying another data hall."""
 
     WORK_SPLIT = "work_split"
-    """Several instances of a hall ask the targets of one large search."""
+    """Splits a large search among several instances of a data hall."""
 
     FAST_GATHERERS = "fast_gatherers"
-    """Instances that are much faster than others ask the targets for them."""
+    """Delegates querying the targets to instances that are much faster than others."""
 
     HEDGE_FLOOR = "hedge_floor"
-    """Gatherers leave out records that can't be in the answer any more."""
+    """Lets gatherers omit records that can no longer be part of the answer."""
 
     FREE_RETRIES = "free_retries"
-    """An attempt that reached no target does not count among those that may be made."""
+    """Excludes attempts that reached no target from the limit on attempts."""
 
     ROOM_WAIT = "room_wait"
-    """A request waits a little for targets with room before it is refused."""
+    """Lets a request wait briefly for a target with free capacity before it is refused."""
 
     EARLY_ANSWER = "early_answer"
-    """A search is answered just before its aim when enough shards are in."""
+    """Answers a search just before its SLO expires if enough shards have answered."""
 
     START_HOLD = "start_hold"
-    """Requests are held for a moment while an instance has no configuration or targets."""
+    """Holds requests briefly while an instance has no configuration or no targets yet."""
 
     LINK_COMPRESSION = "link_compression"
-    """Frames between instances are compressed."""
+    """Compresses frames between instances."""
 
     SHARED_ATTEMPTS = "shared_attempts"
-    """The extra attempts of a hall's instances are gathered and granted where they are needed."""
+    """Pools the extra attempts of a hall's instances and grants them where they are needed."""
 
     SHARED_EVIDENCE = "shared_evidence"
-    """The instances of a hall tell each other which targets are slow."""
+    """Shares evidence of slow targets among the instances of a hall."""
 
     STORE_REPEATS = "store_repeats"
-    """Reads of the store are sent again on a new connection while no answer comes."""
+    """Repeats reads of the store on a new connection while no answer arrives."""
 
 
 class UnknownMechanismError(ValueError):
-    """A setting names something that can't be switched off."""
+    """A setting names an unknown mechanism."""
 
 
 def parse(text: str) -> frozenset[Mechanism]:
-    """Read the names of mechanisms to switch off.
+    """Parse the names of the mechanisms to disable.
 
     Args:
-        text: Names separated by commas; blanks around them are passed over.
+        text: Names separated by commas; surrounding whitespace and empty names are ignored.
 
     Returns:
         The mechanisms.
 
     Raises:
-        UnknownMechanismError: A name is unknown; the message lists the known ones.
+        UnknownMechanismError: A name is unknown. The message lists the known ones.
     """
     known = {mechanism.value: mechanism for mechanism in Mechanism}
     names = [name.strip() for name in text.split(",") if name.strip()]
     for name in names:
         if name not in known:
-            raise UnknownMechanismError(f"{name}: unknown; known are {', '.join(sorted(known))}")
+            raise UnknownMechanismError(
+                f"unknown mechanism {name!r}; known mechanisms: {', '.join(sorted(known))}"
+            )
     return frozenset(known[name] for name in names)
--- a/src/lineworks/decisions/members.py
+++ b/src/lineworks/decisions/members.py
@@ -1,4 +1,4 @@
-"""Which instances count as live, from a list that lags and from own evidence."""
+"""Which instances count as live, given a delayed list and the state of the instance's own links."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
     from collections.abc import Iterable
 
 GRACE = 3.0
-"""Seconds for which a listed instance counts as live though no link to it is up."""
+"""Seconds for which a newly listed instance counts as live without an established link."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """An entry of the platform's list."""
+    """An entry of the platform's list of instances."""
 
     name: str
     """Name of the instance."""
@@ -26,7 +26,7 @@
     """Identity of its process."""
 
     is_leaving: bool
-    """Whether it takes no new work."""
+    """Whether it is leaving and accepts no new work."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,17 +36,17 @@
     is_up: bool = False
     is_listed: bool = False
     is_leaving: bool = False
-    unproven_since: float = 0.0
+    unconfirmed_since: float = 0.0
 
 
 class MemberState:
-    """What one instance knows of the others."""
+    """What one instance knows about the other instances."""
 
     def __init__(self, name: str, hall: str) -> None:
-        """Start alone.
+        """Start without peers.
 
         Args:
-            name: Name of this instance, which always counts as live to itself.
+            name: Name of this instance, which always considers itself live.
             hall: Its data hall.
         """
         self._name = name
@@ -54,27 +54,27 @@
         self._peers: dict[str, _Peer] = {}
 
     def live(self, now: float) -> dict[str, str]:
-        """List the instances that may get work.
+        """Return the instances that may be given work.
 
         Args:
-            now: The present, in seconds.
+            now: The current time, in seconds.
 
         Returns:
-            Names with halls, this instance among them, sorted by name.
+            Data halls by instance name, sorted by name, including this instance.
         """
         found = {self._name: self._hall}
         for name, peer in self._peers.items():
-            is_hoped = peer.is_listed and now - peer.unproven_since < GRACE
-            if not peer.is_leaving and (peer.is_up or is_hoped):
+            is_in_grace = peer.is_listed and now - peer.unconfirmed_since < GRACE
+            if not peer.is_leaving and (peer.is_up or is_in_grace):
                 found[name] = peer.hall
         return dict(sorted(found.items()))
 
     def on_list(self, listed: Iterable[ListedInstance], now: float) -> None:
-        """Take in the platform's list.
+        """Process the platform's list of instances.
 
         Args:
             listed: Its entries, without this instance.
-            now: The present, in seconds.
+            now: The current time, in seconds.
         """
         entries = {entry.name: entry for entry in listed}
         for name, peer in list(self._peers.items()):
@@ -88,12 +88,12 @@
                 peer.is_leaving = peer.is_leaving or entry.is_leaving
 
     def on_up(self, name: str, hall: str, incarnation: str) -> None:
-        """Note that a link to a peer is proven.
+        """Record that a link to a peer is established.
 
         Args:
-            name: The peer.
+            name: Name of the peer.
             hall: Its data hall.
-            incarnation: Identity of its process; a new one is not leaving.
+            incarnation: Identity of its process. A new incarnation is not leaving.
         """
         peer = self._peer(name, hall, incarnation, 0.0)
         if peer.incarnation != incarnation:
@@ -103,23 +103,23 @@
         peer.is_up = True
 
     def on_down(self, name: str, now: float) -> None:
-        """Note that the link to a peer is gone.
+        """Record that the link to a peer is lost.
 
         Args:
-            name: The peer.
-            now: The present, in seconds.
+            name: Name of the peer.
+            now: The current time, in seconds.
         """
         peer = self._peers.get(name)
         if peer is not None:
             peer.is_up = False
-            # A link that was up and broke is evidence against the list: no grace is given.
-            peer.unproven_since = now - GRACE
+            # A lost link is stronger evidence than the delayed list, so no grace period applies.
+            peer.unconfirmed_since = now - GRACE
 
     def on_leaving(self, name: str) -> None:
-        """Note that a peer said it is leaving; this holds for its incarnation.
+        """Record that a peer announced that it is leaving; this applies to its incarnation.
 
         Args:
-            name: The peer.
+            name: Name of the peer.
         """
         peer = self._peers.get(name)
         if peer is not None:
@@ -128,5 +128,5 @@
     def _peer(self, name: str, hall: str, incarnation: str, now: float) -> _Peer:
         peer = self._peers.get(name)
         if peer is None:
-            peer = self._peers[name] = _Peer(hall, incarnation, unproven_since=now)
+            peer = self._peers[name] = _Peer(hall, incarnation, unconfirmed_since=now)
         return peer
--- a/src/lineworks/decisions/parts.py
+++ b/src/lineworks/decisions/parts.py
@@ -1,8 +1,8 @@
-"""How the parts of a search become one answer, with no shard in it twice.
+"""How the parts of a search are combined into one answer that counts each shard once.
 
-Records are byte strings of `RECORD_BYTES`, compared byte by byte. A gatherer merges the greatest
-records of several shards before they travel, so a merged result can't be taken apart again: it
-is either used whole or not at all.
+Records are byte strings of `RECORD_BYTES` bytes, ordered bytewise. A gatherer merges the top
+records of several shards before it sends them. A merged part cannot be split up again, so it is
+either used as a whole or discarded.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
     from collections.abc import Iterable, Sequence
 
 RECORD_BYTES = 16
-"""Length of a record."""
+"""Length of a record in bytes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """Results of one or more shards, merged."""
+    """Merged results of one or more shards."""
 
     shards: frozenset[int]
     """Positions of the shards in the search."""
 
     stamps: tuple[str, ...]
-    """The targets' signatures, one for each shard."""
+    """Signatures of the targets, one per shard."""
 
     records: tuple[bytes, ...]
-    """The greatest records of these shards, falling."""
+    """The top records of these shards, in descending order."""
 
 
 def split_records(body: bytes) -> list[bytes]:
-    """Cut a body into records; a remainder that is too short is no record.
+    """Split a body into records; an incomplete record at the end is dropped.
 
     Args:
         body: The body.
@@ -45,28 +45,28 @@
 
 
 def top_records(records: Iterable[bytes], top: int) -> tuple[bytes, ...]:
-    """Keep the greatest records.
+    """Select the greatest records.
 
     Args:
-        records: Records in any order; equal ones all count.
-        top: How many to keep.
+        records: Records in any order; duplicates are kept.
+        top: How many records to select.
 
     Returns:
-        They, falling.
+        The selected records, in descending order.
     """
-    # Records are few and compare fast; picking the greatest one by one takes several times as long.
+    # Sorting is several times faster than selecting one by one: records are few and compare fast.
     return tuple(sorted(records, reverse=True)[:top])
 
 
 def merge(parts: Sequence[Part], top: int) -> Part:
-    """Merge parts that have no shard in common.
+    """Merge parts whose shards are disjoint.
 
     Args:
         parts: The parts.
-        top: Records to keep.
+        top: How many records to keep.
 
     Returns:
-        One part with all their shards.
+        One part with all of their shards.
     """
     shards: set[int] = set()
     for part in parts:
@@ -77,37 +77,38 @@
 
 
 class PartSet:
-    """The parts of one search that can be used together."""
+    """The parts of one search that are used for its answer."""
 
     def __init__(self, total: int, top: int) -> None:
-        """Start empty.
+        """Start without parts.
 
         Args:
-            total: Shards of the search.
-            top: Records that the answer holds.
+            total: Number of shards of the search.
+            top: Number of records in the answer.
         """
         self._total = total
         self._top = top
         self._parts: list[Part] = []
         self.covered: set[int] = set()
-        """Shards that are in."""
+        """Positions of the shards that the parts cover."""
 
     @property
     def missing(self) -> int:
-        """Shards that are not in."""
+        """Number of shards that are not covered."""
         return self._total - len(self.covered)
 
     def add(self, part: Part) -> bool:
-        """Take a part in, unless that would bring a shard in twice.
+        """Add a part unless it contains a shard that is already covered.
 
-        A part that is in stays in. So the floor never falls, and a further part that was cut at an
-        earlier floor stays right. Replicas of one shard need not hold the same records.
+        Parts are never removed, so the floor never falls, and a later part whose records were
+        filtered by an earlier floor stays correct. Replacing a part could break this, because
+        replicas of one shard need not hold the same records.
 
         Args:
             part: The part.
 
         Returns:
-            Whether it was taken.
+            Whether the part was added.
         """
         if not self.covered.isdisjoint(part.shards):
             return False
@@ -116,10 +117,11 @@
         return True
 
     def floor(self) -> bytes:
-        """Tell the least record that a further part must bring to change the answer.
+        """Return the least record that a further part must contain to change the answer.
 
         Returns:
-            The last record of the answer so far, or nothing while the answer is not full.
+            The last record of the merged answer, or empty bytes while it has fewer records than the
+            search returns.
         """
         records = self.merged().records
         return records[-1] if len(records) == self._top else b""
@@ -128,20 +130,20 @@
         """Merge all parts.
 
         Returns:
-            One part.
+            One part that contains all of them.
         """
         return merge(self._parts, self._top)
 
 
 def required_shards(total: int, min_coverage: float) -> int:
-    """Count the shards that an answer needs.
+    """Compute how many shards an answer must cover.
 
     Args:
-        total: Shards of the search.
-        least_share: Share of them (0 to 1).
+        total: Number of shards of the search.
+        min_coverage: Minimum share of them that must be covered (0 to 1).
 
     Returns:
-        A number of shards, at least 1.
+        The number of shards, at least 1.
     """
     count = total
     while count > 1 and (count - 1) / total >= min_coverage:
--- a/src/lineworks/decisions/routes.py
+++ b/src/lineworks/decisions/routes.py
@@ -1,7 +1,7 @@
-"""Which route a request takes, and which of its services gets it.
+"""Which route a request takes, and which of the route's services receives it.
 
 A `RouteTable` is one version of the operators' configuration. It is immutable, so a request keeps
-the table that it was admitted under, and with it one version's set of shards.
+the table under which it was admitted, and with it the set of shards of that version.
 """
 
 from __future__ import annotations
@@ -15,113 +15,113 @@
     from collections.abc import Iterable, Mapping
 
 ANY_REGION: frozenset[str] = frozenset()
-"""Home regions of what may be served in any region."""
+"""Home regions of a route or workspace that may be served in any region."""
 
 NO_REGION: frozenset[str] = frozenset(("(none)",))
-"""Home regions of what may be served in no region: no hall stands in it."""
+"""Home regions of a route or workspace that may not be served at all: a region without halls."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """What the configuration says of a service."""
+    """Configuration of a service."""
 
     name: str
     """Unique name."""
 
     connections: int
-    """Connections that each of its targets accepts, from all instances together."""
+    """Concurrent connections that each of its targets accepts, from all instances together."""
 
     cold_seconds: float = 0.0
-    """Seconds that its targets are cold after a start."""
+    """Seconds after a start during which its targets are cold."""
 
     cold_rate: float = 0.0
-    """Requests a second that one of them can handle while cold; 0 where none is told, and then
-    nothing bounds them."""
+    """Requests per second that one target can handle while cold; 0 if not configured, in which case
+    there is no limit."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One part of a split route."""
+    """One of the services among which a route is split."""
 
     service: str
     """Name of the service."""
 
     weight: float
-    """Share of the requests, relative to the other parts."""
+    """Share of the requests, relative to the weights of the other services."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of one path prefix go. Exactly one of the last three is not empty."""
+    """Where the requests for a path prefix are sent. Either `split` or `shards` is not empty."""
 
     name: str
-    """Unique name, for logs and metrics."""
+    """Unique name, used in logs and metrics."""
 
     host: str
-    """Host name that it belongs to, in lower case."""
+    """Host name to which it applies, in lower case."""
 
     prefix: str
-    """Path prefix, with a slash at both ends."""
+    """Path prefix, with a leading and a trailing slash."""
 
     is_repeatable: bool
-    """Whether a request may run more than once."""
+    """Whether a request may be executed more than once."""
 
     timeout: float
-    """Longest time, in seconds, that a request may be held."""
+    """Maximum time in seconds that a request may take."""
 
     slo: float
-    """Time, in seconds, within which an answer is worth most to its caller."""
+    """Latency objective in seconds; a later answer is worth less to its caller."""
 
     max_attempts: int
-    """Targets that one try may run on in all, those that failed or were given up included; for a
-    search, those of one shard. A target that refused it does not count."""
+    """Maximum targets to which one request, or one shard of a search, may be sent, including those
+    that failed or were abandoned. A target that refused the request does not count."""
 
     priority: int
-    """Rank; 0 is the most urgent."""
+    """Priority; 0 is the highest."""
 
     split: tuple[WeightedService, ...] = ()
-    """Services that share the requests; a single one for a plain route."""
+    """Services among which the requests are split; a single one for a simple route."""
 
     shards: tuple[str, ...] = ()
-    """Services that are the shards of a search."""
+    """Services that form the shards of a search; empty for other routes."""
 
     top: int = 0
-    """Records that a search returns."""
+    """Number of records that a search returns."""
 
     min_coverage: float = 1.0
-    """Share of the shards (0 to 1) that a search's answer needs."""
+    """Minimum share of the shards (0 to 1) that the answer to a search must cover."""
 
     homes: frozenset[str] = ANY_REGION
-    """Home regions: the only ones in which its requests are served."""
+    """Home regions, the only regions in which its requests may be served."""
 
     is_public: bool = False
-    """Whether its requests need no key."""
+    """Whether its requests need no API key."""
 
     @property
     def is_search(self) -> bool:
-        """Whether its requests reach every shard."""
+        """Whether its requests are searches, which are sent to every shard."""
         return bool(self.shards)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long they may take."""
+    """Limits on the size and the duration of callers' requests."""
 
     header_bytes: int = 16384
-    """Bytes of a request's head."""
+    """Maximum bytes of the request line and headers."""
 
     body_bytes: int = 262144
-    """Bytes of a request's body."""
+    """Maximum bytes of the request body."""
 
     header_seconds: float = 3.0
-    """Seconds from a request's first byte to the end of its head."""
+    """Maximum seconds from the first byte of a request to the end of its headers."""
 
     idle_seconds: float = 15.0
-    """Seconds that a connection may be at rest."""
+    """Maximum seconds that a connection may be idle."""
 
 
 class RouteTable:
-    """One version of the configuration."""
+    """The routes, services and workspaces of one version of the configuration."""
 
     def __init__(
         self,
@@ -129,20 +129,20 @@
         routes: Iterable[Route],
         services: Iterable[ServiceSpec],
         limits: CallerLimits,
-        known: workspaces.Workspaces | None = None,
+        known_workspaces: workspaces.Workspaces | None = None,
     ) -> None:
-        """Index the routes by host, longest prefix first.
+        """Index the routes by host and sort them by prefix, longest first.
 
         Args:
-            version: Version; a later one is newer.
+            version: Version of the configuration; a higher one is newer.
             routes: All routes.
             services: All services.
-            limits: Limits of callers.
-            known: Workspaces; none where no request needs a key.
+            limits: Limits on callers' requests.
+            known_workspaces: The workspaces; None if no request needs an API key.
         """
         self.version = version
         self.limits = limits
-        self.workspaces = known or workspaces.Workspaces()
+        self.workspaces = known_workspaces or workspaces.Workspaces()
         self.services: Mapping[str, ServiceSpec] = {spec.name: spec for spec in services}
         self._by_host: dict[str, list[Route]] = {}
         self._for_workspaces: dict[tuple[str, str, str], Route] = {}
@@ -157,14 +157,14 @@
         return [route for listed in self._by_host.values() for route in listed]
 
     def match(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix of a path.
+        """Return the route with the longest prefix that matches a path.
 
         Args:
-            host: Host name without a port, in any case.
-            path: Path without a query.
+            host: Host name without a port; upper and lower case are equivalent.
+            path: Path without the query string.
 
         Returns:
-            The route, or None.
+            The route, or None if no route matches.
         """
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
@@ -172,15 +172,15 @@
         return None
 
     def for_workspace(self, route: Route, workspace: workspaces.Workspace) -> Route:
-        """Find what holds for the requests of a workspace on a route.
+        """Return a route as it applies to the requests of a workspace.
 
         Args:
             route: A route of this table.
             workspace: A workspace of this table.
 
         Returns:
-            The route, with the workspace's priority where it has one and with the home regions that
-            both allow.
+            The route with the priority of the workspace, if it has one, and with the home regions
+            that both allow.
         """
         key = (route.host, route.prefix, workspace.name)
         found = self._for_workspaces.get(key)
@@ -194,30 +194,31 @@
 
 
 def _common_homes(one: frozenset[str], other: frozenset[str]) -> frozenset[str]:
-    """Find the home regions that both allow; `ANY_REGION` allows all."""
+    """Return the home regions that both allow; `ANY_REGION` allows all."""
     if not one or not other:
         return one or other
     return one & other or NO_REGION
 
 
 class WeightedRoundRobin:
-    """Divides a route's requests among its services in proportion to their weights.
+    """Distributes the requests of a route among its services in proportion to their weights.
 
-    Smooth weighted round robin: after any number of requests each service has had its share to
-    within one request, where a random choice would stray by the square root of their number.
+    This is smooth weighted round robin: after any number of requests, each service has received its
+    share to within one request, whereas a random choice would deviate by the square root of their
+    number.
     """
 
     def __init__(self) -> None:
         self._credits: dict[str, dict[str, float]] = {}
 
     def choose(self, route: Route) -> str:
-        """Choose the service of the next request.
+        """Choose the service for the next request.
 
         Args:
             route: A route that is not a search.
 
         Returns:
-            Name of the service.
+            The name of the service.
         """
         if len(route.split) == 1:
             return route.split[0].service
@@ -231,10 +232,10 @@
         return chosen
 
     def forget_absent(self, routes: Iterable[Route]) -> None:
-        """Drop the state of routes that changed or went.
+        """Discard the state of routes that were removed or whose services changed.
 
         Args:
-            routes: The routes in force now.
+            routes: The current routes.
         """
         wanted = {route.name: {part.service for part in route.split} for route in routes}
         for name in list(self._credits):
--- a/src/lineworks/decisions/routing.py
+++ b/src/lineworks/decisions/routing.py
@@ -1,4 +1,4 @@
-"""Which data hall, and which owner in it, a front sends a sub-query to."""
+"""Which data hall, and which owner within it, a front sends a sub-query to."""
 
 from __future__ import annotations
 
@@ -11,44 +11,45 @@
     from collections.abc import Mapping, Sequence
 
 WAIT_HALF_LIFE = 0.2
-"""Seconds after which a wait that a hall reported counts half."""
+"""Half-life in seconds of the weight of a wait reported by a hall."""
 
 
 @dataclasses.dataclass(slots=True)
 class HallLoad:
-    """A front's view of one service in one data hall."""
+    """Load of one service in one data hall, as seen by a front."""
 
     slots: int
-    """Slots of all the service's targets there."""
+    """Total slots of the service's targets in the hall."""
 
     outstanding: int = 0
-    """Own sub-queries that have no reply yet."""
+    """Sub-queries of this front that have no reply yet."""
 
     waited: float = 0.0
-    """Seconds that the last reply's sub-query waited for a slot."""
+    """Seconds that the most recently answered sub-query waited for a slot."""
 
     waited_at: float = -math.inf
-    """When that reply came."""
+    """When that reply arrived, in seconds."""
 
     def on_reply(self, now: float, waited: float) -> None:
-        """Take in how long a sub-query waited.
+        """Record how long a sub-query waited.
 
         Args:
-            now: The present, in seconds.
-            waited: Seconds spent waiting for a slot.
+            now: The current time, in seconds.
+            waited: Seconds that it waited for a slot.
         """
         self.waited = waited
         self.waited_at = now
 
-    def cost(self, now: float, service_time: float) -> float:
-        """Estimate the wait for a slot there.
+    def expected_wait(self, now: float, service_time: float) -> float:
+        """Estimate the wait for a slot in the hall.
 
         Args:
-            now: The present, in seconds.
-            service_time: Usual seconds of work for one sub-query.
+            now: The current time, in seconds.
+            service_time: Typical seconds of work per sub-query.
 
         Returns:
-            Seconds: the larger of what own outstanding work makes and what was last reported.
+            Seconds; the larger of the wait that the outstanding sub-queries cause and of the last
+            reported wait, which decays over time.
         """
         own = max(0, self.outstanding - self.slots) * service_time / max(1, self.slots)
         reported = self.waited * 0.5 ** ((now - self.waited_at) / WAIT_HALF_LIFE)
@@ -57,16 +58,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Path:
-    """A hall that can serve a service, with its owners there."""
+    """A hall in which a service can be reached, with its owners there."""
 
     hall: str
-    """The hall whose targets are reached."""
+    """The hall with the targets."""
 
     owners: tuple[str, ...]
-    """Instances that own the service there, best first."""
+    """Instances that own the service in the hall, preferred first."""
 
     delay: float
-    """One-way seconds to the owners."""
+    """One-way network delay to the owners, in seconds."""
 
 
 def choose_path(
@@ -76,24 +77,24 @@
     service_time: float,
     rng: random.Random,
 ) -> Path:
-    """Choose the hall with the least expected time.
+    """Choose the hall with the shortest expected time.
 
     Args:
-        paths: The halls that can serve; at least one.
-        loads: This service's load view by hall.
-        now: The present, in seconds.
-        service_time: Usual seconds of work for one sub-query.
-        rng: Breaks ties.
+        paths: The halls that can serve the sub-query; at least one.
+        loads: Load of the service by hall.
+        now: The current time, in seconds.
+        service_time: Typical seconds of work per sub-query.
+        rng: Random source for tie-breaking.
 
     Returns:
-        The path whose delay there and back plus expected wait is least.
+        The path with the smallest sum of round-trip delay and expected wait.
     """
     if len(paths) == 1:
         return paths[0]
 
     def expected(path: Path) -> tuple[float, float]:
         load = loads.get(path.hall)
-        wait = load.cost(now, service_time) if load else 0.0
+        wait = load.expected_wait(now, service_time) if load else 0.0
         return (2 * path.delay + wait, rng.random())
 
     return min(paths, key=expected)
@@ -106,14 +107,14 @@
 
     Args:
         path: The path.
-        own_name: Name of the asking instance, which is preferred when it is an owner.
-        outstanding: Sub-queries outstanding at each instance.
-        tried: Owners that failed for this sub-query, used only when no other is left.
+        own_name: Name of the requesting instance, which is preferred if it is an owner.
+        outstanding: Outstanding sub-queries by instance.
+        tried: Owners that failed for this sub-query; used only if no other is left.
 
     Returns:
-        Name of the owner.
+        The name of the owner.
     """
-    fresh = [name for name in path.owners if name not in tried] or list(path.owners)
-    if own_name in fresh:
+    candidates = [name for name in path.owners if name not in tried] or list(path.owners)
+    if own_name in candidates:
         return own_name
-    return min(fresh, key=lambda name: outstanding.get(name, 0))
+    return min(candidates, key=lambda name: outstanding.get(name, 0))
--- a/src/lineworks/decisions/selectors.py
+++ b/src/lineworks/decisions/selectors.py
@@ -1,8 +1,8 @@
 """Which selector serves a query.
 
-The rule: a selector matches when every field that it names has the value it names. Of the
-selectors that match, the one naming most fields wins. Two selectors that name equally many
-fields and can both match one query are ambiguous; the configuration model refuses them.
+A selector matches a query if every field that it names has the value that it requires. Among the
+matching selectors, the one with the most fields is chosen. Two selectors with the same number of
+fields that can match the same query are ambiguous; the configuration model rejects them.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Match:
-    """The outcome of a selector look-up, kept for `explain`."""
+    """Result of a selector lookup, kept for `explain`."""
 
     selector: catalog.Selector | None
-    """The selector that serves the query, or None."""
+    """The selector that serves the query, or None if none matches."""
 
     considered: tuple[str, ...]
-    """Names of all selectors that match, most specific first."""
+    """Names of all matching selectors, most specific first."""
 
 
 def choose(selectors: tuple[catalog.Selector, ...], fields: Mapping[str, str]) -> Match:
-    """Find the selector that serves a query.
+    """Choose the selector that serves a query.
 
     Args:
-        selectors: All selectors in force.
-        fields: The query's fields, caller class and workspace among them.
+        selectors: All configured selectors.
+        fields: The fields of the query, including caller class and workspace.
 
     Returns:
-        The match; its selector is None when no selector applies.
+        The match; its selector is None if no selector matches.
     """
     items = fields.items()
     matching = [selector for selector in selectors if selector.match.items() <= items]
@@ -45,14 +45,15 @@
 
 
 def is_ambiguous(first: Mapping[str, str], second: Mapping[str, str]) -> bool:
-    """Say whether two match rules can tie on one query.
+    """Return whether two match rules can tie for the same query.
 
     Args:
         first: One rule.
         second: Another rule.
 
     Returns:
-        True when both name equally many fields and agree on every field that both name.
+        True if both name the same number of fields and require the same value for every field that
+        they have in common.
     """
     if len(first) != len(second):
         return False
--- a/src/lineworks/decisions/snapshots.py
+++ b/src/lineworks/decisions/snapshots.py
@@ -1,7 +1,7 @@
-"""Which snapshot a query is pinned to, from what replicas say they hold.
+"""Which snapshot a query is pinned to, based on the snapshots that replicas report.
 
-Holdings are told per service and data hall: gatherers own the targets and tell fronts the
-snapshots that at least one usable replica of theirs holds.
+Reports are per service and data hall. Gatherers own the targets and report to the fronts which
+snapshots are held by at least one usable replica.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
     """The snapshot chosen for a query."""
 
     snapshot: catalog.Snapshot | None
-    """The snapshot, or None when no replica of the group holds any."""
+    """The snapshot, or None if no replica of the group holds any."""
 
     is_whole: bool
-    """Whether every shard of the snapshot has a replica that holds it."""
+    """Whether every service of the group has a replica that holds the snapshot."""
 
 
 def pin(
@@ -31,18 +31,19 @@
     held: Callable[[str], Iterable[catalog.Snapshot]],
     excluded: catalog.Snapshot | None = None,
 ) -> Pin:
-    """Choose the newest snapshot that can be served for every shard.
+    """Choose the newest snapshot that is available for every shard.
 
-    A snapshot is servable when each service of the group has a replica that holds it. Where no
-    snapshot is servable everywhere, the one held by most services is taken, the newest of equals.
+    A snapshot is available if each service of the group has a replica that holds it. If no snapshot
+    is available for all services, the one held by the most services is chosen, and the newest of
+    these if there are several.
 
     Args:
-        group: The services that the query reaches.
-        held: For a service name, the snapshots that usable replicas of it hold.
-        excluded: A snapshot that vanished under the query, if any.
+        group: The services that the query is sent to.
+        held: Returns the snapshots held by usable replicas of a service, given its name.
+        excluded: A snapshot that was removed while the query was running, if any.
 
     Returns:
-        The choice.
+        The chosen snapshot.
     """
     counts: dict[catalog.Snapshot, int] = {}
     for service in group.services:
@@ -52,6 +53,6 @@
         counts.pop(excluded, None)
     if not counts:
         return Pin(None, False)
-    whole = len(group.services)
+    total = len(group.services)
     best = max(counts, key=lambda snapshot: (counts[snapshot], snapshot))
-    return Pin(best, counts[best] == whole)
+    return Pin(best, counts[best] == total)
--- a/src/lineworks/decisions/stop_times.py
+++ b/src/lineworks/decisions/stop_times.py
@@ -1,8 +1,9 @@
-"""When a planned stop does what, from the signal to the end of the process.
+"""Timing of a planned stop, from the signal to the exit of the process.
 
-The platform ends a process a fixed time after the signal to stop. Callers come until the balancer
-has let go, and after that on connections that they kept; what is under way is finished as long as
-there is time, and answered with what is known when there is none.
+The platform kills a process a fixed time after the stop signal. Callers open new connections until
+the load balancer has deregistered the instance, and after that reuse those they kept open. Requests
+in progress are completed while there is time; when it runs out, they are answered with what is
+known so far.
 """
 
 from __future__ import annotations
@@ -10,52 +11,52 @@
 import dataclasses
 
 DEREGISTRATION_SECONDS = 3.2
-"""Seconds after the signal in which new connections may still come: the balancer asks once a second
-and lets go after two misses."""
+"""Seconds after the signal during which new connections may still arrive: the load balancer checks
+health once a second, and deregisters an instance after two failed checks."""
 
-MOST_HAND_OVER_SHARE = 0.5
-"""Share of the time to stop that this takes at most."""
+MAX_DEREGISTRATION_SHARE = 0.5
+"""Maximum share of the grace period that is reserved for deregistration."""
 
 ANSWER_MARGIN = 0.4
-"""Seconds before the platform ends the process at which what is under way is answered: what a
-process needs to write its answers while timers fire late and its processor time is used up (which
-comes back within a tenth of a second)."""
+"""Seconds before the platform kills the process at which requests in progress are answered. This is
+the time needed to write the answers while timers fire late and the process has used up its
+processor quota, which is renewed within a tenth of a second."""
 
 END_MARGIN = 0.2
-"""Seconds before the platform ends the process at which it ends in any case: until then answers
-leave, and callers that had just connected are told to go elsewhere."""
+"""Seconds before the platform kills the process at which it exits in any case. Until then it sends
+answers, and tells callers that have just connected to use another instance."""
 
 MIN_IDLE_SECONDS = 1.2
-"""Seconds without a request after which a stop closes a connection: a caller's first packet that is
-lost comes again after one second (RFC 6298), and takes its way."""
+"""Seconds without a request after which a stop closes a connection. A first packet that is lost is
+retransmitted after one second (RFC 6298), plus the network delay."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopTimes:
-    """The moments of a planned stop, in seconds on the steady clock."""
+    """The deadlines of a planned stop, in seconds on the steady clock."""
 
     deregistered_by: float
-    """Until when new connections may still come."""
+    """When the load balancer no longer sends new connections."""
 
     answer_by: float
-    """When what is still under way is answered with what is known."""
+    """When requests still in progress are answered with what is known so far."""
 
     end_by: float
-    """When the process ends, whatever is left."""
+    """When the process exits, even if requests are left."""
 
 
 def plan(now: float, grace: float) -> StopTimes:
-    """Plan a stop.
+    """Compute the deadlines of a stop.
 
     Args:
-        now: When the signal came, in seconds.
-        grace: Seconds after it at which the platform ends the process.
+        now: When the signal was received, in seconds.
+        grace: Grace period: seconds after the signal at which the platform kills the process.
 
     Returns:
-        The moments.
+        The deadlines.
     """
     return StopTimes(
-        deregistered_by=now + min(DEREGISTRATION_SECONDS, MOST_HAND_OVER_SHARE * grace),
+        deregistered_by=now + min(DEREGISTRATION_SECONDS, MAX_DEREGISTRATION_SHARE * grace),
         answer_by=now + grace - ANSWER_MARGIN,
         end_by=now + grace - END_MARGIN,
     )
--- a/src/lineworks/decisions/verdict.py
+++ b/src/lineworks/decisions/verdict.py
@@ -1,8 +1,8 @@
-"""What is known about a request: whether it ran, and why.
+"""What is known about the execution of a request: whether it ran, and why.
 
-Every refusal, retry and answer in lineworks follows from a `Verdict`. The rule: `NOT_RUN` is
-only said when no byte of the request was handed to a transport, or when the target itself said
-that it did not run the request.
+Every refusal, retry and answer in lineworks is derived from a `Verdict`. `NOT_RUN` is used only if
+no byte of the request was passed to a transport, or if the target itself reported that it did not
+run the request.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
     """Whether a request ran at a target."""
 
     NOT_RUN = "NOT_RUN"
-    """Certain: no target ran the request."""
+    """It is certain that no target ran the request."""
 
     MAY_HAVE_RUN = "MAY_HAVE_RUN"
-    """Unknown: the request was handed to a transport and no outcome came back."""
+    """Unknown: the request was passed to a transport and no outcome was received."""
 
     RAN = "RAN"
-    """Certain: a target ran the request and its outcome is known."""
+    """It is certain that a target ran the request, and its outcome is known."""
 
 
 class Reason(enum.Enum):
-    """Why a verdict is what it is. A closed set, so that it can label metrics."""
+    """The reason for a verdict. The set is closed, so it can be used as a metric label."""
 
     OK = "ok"
     """The request ran and was answered."""
@@ -34,105 +34,105 @@
     """No selector matches the query."""
 
     NO_SERVICE = "no_service"
-    """The configuration holds no such service."""
+    """The configuration contains no such service."""
 
     NO_REPLICA = "no_replica"
-    """No live replica of the shard is known."""
+    """The shard has no known live replica."""
 
     NO_SNAPSHOT = "no_snapshot"
-    """No replica that can be used holds the pinned snapshot."""
+    """No usable replica holds the pinned snapshot."""
 
     SNAPSHOT_GONE = "snapshot_gone"
     """The target no longer holds the pinned snapshot."""
 
     LEAVING = "leaving"
-    """The target or the instance is leaving and takes no new work."""
+    """The target or the instance is leaving and accepts no new work."""
 
     OVERLOADED = "overloaded"
     """The request was shed because of load."""
 
     CAPPED = "capped"
-    """A connection was refused because the target's connection cap was reached."""
+    """The target refused a connection because its connection limit was reached."""
 
     UNREACHABLE = "unreachable"
     """A connection could not be opened."""
 
     LINK_LOST = "link_lost"
-    """The connection broke after the request had been sent."""
+    """The connection was lost after the request had been sent."""
 
     DEADLINE = "deadline"
-    """The deadline came before an outcome."""
+    """The deadline passed before an outcome was known."""
 
     CANCELLED = "cancelled"
-    """The caller or the query gave the request up."""
+    """The caller or the query cancelled the request."""
 
     FAILED = "failed"
     """The target ran the request and reported a failure."""
 
     BUDGET_SPENT = "budget_spent"
-    """The retry budget of the group is spent."""
+    """The retry budget of the group is exhausted."""
 
     COVERAGE = "coverage"
-    """Fewer shards answered than the policy demands."""
+    """Fewer shards answered than the policy requires."""
 
     NOT_READY = "not_ready"
     """The instance has no configuration yet."""
 
     TICKET_UNKNOWN = "ticket_unknown"
-    """The ticket was not issued by the instance that it names, or was voided."""
+    """The ticket was not issued by the instance that it names, or it was revoked."""
 
     TICKET_EXPIRED = "ticket_expired"
-    """The ticket's time is over."""
+    """The ticket has expired."""
 
     TICKET_USED = "ticket_used"
-    """The ticket was used before."""
+    """The ticket has already been used."""
 
     ISSUER_GONE = "issuer_gone"
     """The instance that issued the ticket cannot be reached."""
 
     KEY_TAKEN = "key_taken"
-    """Another request already claimed the idempotency key."""
+    """Another request has already claimed the idempotency key."""
 
     PLATFORM_DOWN = "platform_down"
-    """The platform's key-value service cannot be reached."""
+    """The platform's key-value store cannot be reached."""
 
     PLATFORM_UNSURE = "platform_unsure"
-    """A write to the platform could not be settled."""
+    """The outcome of a write to the platform is unknown."""
 
     INVALID = "invalid"
-    """The request breaks the rules of the interface."""
+    """The request is invalid."""
 
     NO_HOME_TARGET = "no_home_target"
-    """No target in the route's home regions can be asked, and no other one may be."""
+    """No target in the route's home regions is available, and targets elsewhere are not allowed."""
 
     CRASHES_TARGETS = "crashes_targets"
-    """The request ends the targets that run it."""
+    """The request crashes the targets that run it."""
 
     UNKNOWN_KEY = "unknown_key"
-    """The request carries no key that the configuration holds."""
+    """The request has no API key, or one that is not in the configuration."""
 
     KEY_UNSURE = "key_unsure"
-    """The instance cannot tell whether the request's key holds: it heard nothing for too long."""
+    """The instance cannot tell whether the key is valid: its configuration may be outdated."""
 
     OVER_QUOTA = "over_quota"
-    """The workspace has sent as much as its quota allows."""
+    """The workspace has used up its quota."""
 
     QUOTA_UNSURE = "quota_unsure"
-    """Nobody who could tell whether the request is within the quota answers."""
+    """No instance that could tell whether the request is within the quota answers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """A certainty with its reason."""
+    """Whether a request ran, with the reason."""
 
     certainty: Certainty
     """Whether the request ran."""
 
     reason: Reason
-    """Why this is known."""
+    """The reason for this."""
 
     detail: str = ""
-    """One sentence for people; never parsed."""
+    """Explanation in one sentence, never parsed."""
 
     @property
     def is_not_run(self) -> bool:
@@ -141,7 +141,7 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether a target ran the request and answered, with success or not."""
+        """Whether a target ran the request and answered, successfully or not."""
         return self.certainty is Certainty.RAN
 
     @property
@@ -155,11 +155,11 @@
 
 
 def not_run(reason: Reason, detail: str = "") -> Verdict:
-    """Make a verdict that no target ran the request.
+    """Create a verdict that no target ran the request.
 
     Args:
         reason: Why this is certain.
-        detail: One sentence for people.
+        detail: Explanation in one sentence.
 
     Returns:
         The verdict.
@@ -168,11 +168,11 @@
 
 
 def may_have_run(reason: Reason, detail: str = "") -> Verdict:
-    """Make a verdict that the outcome is unknown.
+    """Create a verdict that the outcome of the request is unknown.
 
     Args:
         reason: Why the outcome is unknown.
-        detail: One sentence for people.
+        detail: Explanation in one sentence.
 
     Returns:
         The verdict.
@@ -181,11 +181,11 @@
 
 
 def ran(reason: Reason, detail: str = "") -> Verdict:
-    """Make a verdict that a target ran the request.
+    """Create a verdict that a target ran the request.
 
     Args:
-        reason: What came of it.
-        detail: One sentence for people.
+        reason: The outcome.
+        detail: Explanation in one sentence.
 
     Returns:
         The verdict.
@@ -194,13 +194,13 @@
 
 
 def combine(verdicts: list[Verdict]) -> Certainty:
-    """Say what is known of a request that was sent in several parts.
+    """Combine the verdicts on a request that was sent in several parts.
 
     Args:
-        verdicts: One verdict for each part; an empty list means that nothing was sent.
+        verdicts: One verdict per part; empty if nothing was sent.
 
     Returns:
-        `RAN` if any part ran, else `MAY_HAVE_RUN` if any part may have, else `NOT_RUN`.
+        `RAN` if any part ran, else `MAY_HAVE_RUN` if any part may have run, else `NOT_RUN`.
     """
     certainties = {verdict.certainty for verdict in verdicts}
     if Certainty.RAN in certainties:
--- a/src/lineworks/decisions/work_split.py
+++ b/src/lineworks/decisions/work_split.py
@@ -1,27 +1,27 @@
 """How the shards of one search are divided among the instances of a data hall.
 
-An instance that asks a hundred targets of one hall or more spends its processor on one call after
-the other, and the last call leaves when the first answers are in. Several instances of the hall
-work side by side. A small search stays in one piece: each further piece costs a message there and
-back, and as many records.
+An instance that queries a hundred or more targets spends its processor time on one call after the
+other, and sends the last call only when the first answers are already in. Splitting the search lets
+several instances of the hall work in parallel. A small search is not split, because each further
+piece costs a message round trip and returns as many records as the whole.
 """
 
 from __future__ import annotations
 
 MAX_SHARDS_PER_INSTANCE = 45
-"""Shards that one instance asks by itself where others could help: the parts of a search over 90 or
-135 shards then take as long as a third of it would."""
+"""Shards above which a search is split if other instances can help. A search over 90 or 135 shards
+is then split into two or three pieces, and takes as long as one of them."""
 
 
 def pieces(count: int, helpers: int) -> int:
-    """Say into how many pieces a search is divided.
+    """Compute into how many pieces a search is split.
 
     Args:
-        count: Shards to be asked in the hall.
+        count: Shards to query in the hall.
         helpers: Instances of the hall that could take a piece.
 
     Returns:
-        Pieces, at least 1.
+        Number of pieces, at least 1.
     """
     wanted = -(-count // MAX_SHARDS_PER_INSTANCE)
     return max(1, min(wanted, helpers))
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -18,7 +18,10 @@
 
 
 def test_an_unknown_name_is_refused_with_the_known_ones():
-    with pytest.raises(mechanisms.UnknownMechanismError, match="hedge: unknown; known are .*merge"):
+    with pytest.raises(
+        mechanisms.UnknownMechanismError,
+        match="unknown mechanism 'hedge'; known mechanisms: .*merge",
+    ):
         mechanisms.parse("merge, hedge")
 
 
