--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests."""
+"""Builders for test data, shared by the tests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def plan(**more) -> scenario.Scenario:
-    """Make a small scenario: two halls, three instances, six services."""
+    """Create a small scenario with two halls, three instances and six services."""
     document = {
         "name": "test",
         "deployment": {
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""The promises on answers, over the real query machinery on a virtual clock."""
+"""Guarantees about answers, checked on the real query path with a virtual clock."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 pytest_bdd.scenarios("features/answers.feature")
 
 
-def _schedule(run, **fault) -> None:
-    planned = scenario.Fault.model_validate(fault)
-    faults.schedule(run.cluster, [planned])
+def _schedule(run, **fields) -> None:
+    fault = scenario.Fault.model_validate(fields)
+    faults.schedule(run.cluster, [fault])
 
 
 @given("a small cluster under searches", target_fixture="run")
@@ -33,19 +33,19 @@
 
 
 @given("a small cluster with one instance in each hall", target_fixture="run")
-def one_each():
+def one_instance_per_hall():
     halls = [{"name": "h1", "instances": 1}, {"name": "h2", "instances": 1}]
     plan = builders.plan(run_share=0.8, load=2.0, deployment={"halls": halls})
     return builders.run_plan(plan)
 
 
 @given("a small cluster under unrepeatable requests", target_fixture="run")
-def runs_only():
+def unrepeatable_cluster():
     return builders.run_plan(builders.plan(run_share=0.8, load=2.0))
 
 
 @given("each target is lost for a moment, one after another")
-def lose_each(run):
+def lose_each_target(run):
     for number, name in enumerate(sorted(run.cluster.gates)):
         _schedule(run, at=0.5 + 0.4 * number, kind="lose_target", target=name, seconds=0.3)
 
@@ -61,7 +61,7 @@
 
 
 @given(parsers.parse("every target claims a snapshot that it lacks after {at:d} seconds"))
-def all_lie(run, at):
+def false_snapshot_reports(run, at):
     for gate in run.cluster.gates.values():
         run.cluster.clock.callLater(at, setattr, gate.model, "report_override", clusters.lie)
 
@@ -72,20 +72,20 @@
     for instance in run.cluster.instances.values():
         on_reply = instance.front.on_reply
 
-        def again(sender, reply, on_reply=on_reply):
+        def deliver_repeatedly(sender, reply, on_reply=on_reply):
             on_reply(sender, reply)
             on_reply(sender, reply)
             clock.callLater(0.2, on_reply, sender, reply)
-            # Another query's frame, asked of the same gatherer, gets this reply's body.
+            # The frame of another query, sent to the same gatherer, receives this reply's body.
             other = dataclasses.replace(reply, frame=reply.frame + 1_000_000)
             on_reply(sender, other)
             on_reply("nobody", dataclasses.replace(reply, frame=reply.frame + 1))
 
-        instance.front.on_reply = again
+        instance.front.on_reply = deliver_repeatedly
 
 
 @given(parsers.parse("the hall {hall} is cut off after {at:d} seconds for {seconds:d} seconds"))
-def cut(run, hall, at, seconds):
+def cut_off_hall(run, hall, at, seconds):
     _schedule(run, at=float(at), kind="cut_hall", hall=hall, seconds=float(seconds))
 
 
@@ -110,15 +110,15 @@
 
 
 @then("no promise was broken")
-def none_broken(figures):
+def no_violations(figures):
     assert builders.violations(figures) == {}
 
 
 @then("no promise was broken, but for callers of the killed instance")
-def none_broken_by_others(figures, run, dead):
+def no_violations_elsewhere(figures, run, dead):
     lost = [entry for entry in run.books.entries if entry.answers != 1]
     assert all(not entry.answers for entry in lost)
-    # Only what the killed instance had in hand at that moment may stay without an answer.
+    # Only requests in progress at the killed instance may remain unanswered.
     assert all(1.0 < entry.sent_at <= 2.0 for entry in lost)
     assert {name for name in builders.violations(figures) if name != "lost"} == set()
 
@@ -146,7 +146,7 @@
 
 
 @then("the stray replies were dropped and counted")
-def strays_counted(run):
+def stray_replies_counted(run):
     counted = sum(
         instance.front.counters.late_replies for instance in run.cluster.instances.values()
     )
@@ -177,7 +177,7 @@
 
 
 @then("every unrepeatable request in its hands may have run")
-def unrepeatable_unknown(run):
+def unrepeatable_outcome_unknown(run):
     runs = [entry for entry in run.books.entries if entry.is_run and entry.answer is not None]
     failed = [entry.answer.verdict for entry in runs if not entry.answer.verdict.is_ok]
     assert failed
@@ -186,7 +186,7 @@
 
 
 @then("some unrepeatable requests may have run and none ran twice")
-def none_doubled(run, figures):
+def none_ran_twice(run, figures):
     verdicts = [entry.answer.verdict for entry in run.books.entries if entry.is_run]
     assert any(found.certainty is verdict.Certainty.MAY_HAVE_RUN for found in verdicts)
     assert figures["doubled"] == 0
@@ -200,7 +200,7 @@
     ]
 
 
-def test_same_seed_gives_the_same_figures():
+def test_the_same_seed_gives_the_same_results():
     plan = builders.plan(seconds=3.0, faults=[{"at": 1.0, "kind": "reversion"}])
     first = builders.run_plan(plan, seed=5).finish()
     second = builders.run_plan(plan, seed=5).finish()
@@ -208,5 +208,5 @@
     assert first != builders.run_plan(plan, seed=6).finish()
 
 
-def test_snapshot_type_is_read_and_written():
+def test_a_snapshot_is_parsed():
     assert catalog.parse_snapshot("7@base") == catalog.Snapshot(7, "base")
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""The change protocol under any interleaving of writers, lost replies and restarts."""
+"""The change protocol under arbitrary interleavings of writers, lost replies and restarts."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @dataclasses.dataclass
 class _Writer:
-    """An operator's change on its way: what was read, and what would be written."""
+    """An operator's pending change: the head that was read, and the key to be written."""
 
     change_id: str
     base: int
     key: str
-    seen: changes.Head
+    head: changes.Head
     revision: int
 
 
 class ChangeProtocol(stateful.RuleBasedStateMachine):
-    """Writers read the head, decide, and write it by compare-and-swap; instances follow it."""
+    """Writers read the head and replace it by compare-and-swap; instances follow it."""
 
     def __init__(self):
         super().__init__()
@@ -47,19 +47,19 @@
     @stateful.precondition(lambda self: self.writers)
     @stateful.rule(data=st.data(), is_reply_lost=st.booleans())
     def write(self, data, is_reply_lost):
-        """Write, or try again after a lost reply, as `ConfigStore.apply` does."""
+        """Write the change, or retry it after a lost reply, as `ConfigStore.apply` does."""
         writer = self.writers.pop(data.draw(st.integers(0, len(self.writers) - 1)))
         if any(change.id == writer.change_id for change in self.head.changes):
             self.accepted.add(writer.change_id)
             return
-        clash = changes.conflict(writer.seen, writer.base, frozenset({writer.key}))
-        if clash is not None:
-            if isinstance(clash, changes.Conflict):
-                assert clash.winner.version > writer.base
-                assert writer.key in clash.winner.keys
+        conflict = changes.conflict(writer.head, writer.base, frozenset({writer.key}))
+        if conflict is not None:
+            if isinstance(conflict, changes.Conflict):
+                assert conflict.winner.version > writer.base
+                assert writer.key in conflict.winner.keys
             return
         following = changes.extend(
-            writer.seen, writer.change_id, "x", {writer.key: writer.change_id}, (), "m"
+            writer.head, writer.change_id, "x", {writer.key: writer.change_id}, (), "m"
         )
         if self.revision == writer.revision:
             self.head = following
@@ -68,30 +68,30 @@
             if not is_reply_lost:
                 self.accepted.add(writer.change_id)
                 return
-        writer.seen, writer.revision = self.head, self.revision
+        writer.head, writer.revision = self.head, self.revision
         self.writers.append(writer)
 
     @stateful.rule(which=st.integers(0, 2), data=st.data())
-    def learn(self, which, data):
-        """Show an instance any head that ever was, as a stale read or a late peer would."""
-        shown = self.history[data.draw(st.integers(0, len(self.history) - 1))]
+    def offer_head(self, which, data):
+        """Present any earlier head to an instance, as a stale read or a lagging peer would."""
+        offered = self.history[data.draw(st.integers(0, len(self.history) - 1))]
         version, digest = self.instances[which]
-        step = changes.follow(version, digest, shown)
+        step = changes.follow(version, digest, offered)
         if isinstance(step, changes.ApplyChanges) and step.changes:
             assert step.changes[0].version == version + 1
         if isinstance(step, changes.Rejected):
-            assert shown.version < version
+            assert offered.version < version
             return
-        assert shown.version >= version
-        self.instances[which] = (shown.version, shown.digest)
+        assert offered.version >= version
+        self.instances[which] = (offered.version, offered.digest)
 
     @stateful.rule(which=st.integers(0, 2))
     def restart(self, which):
         self.instances[which] = (0, "")
 
     @stateful.rule(which=st.integers(0, 2))
-    def show_fork(self, which):
-        """A head with another history is never followed by an instance that has one."""
+    def offer_fork(self, which):
+        """Check that an instance with a version rejects a head with a different history."""
         version, digest = self.instances[which]
         if not version:
             return
@@ -114,7 +114,7 @@
 TestChangeProtocol.settings = hypothesis.settings(max_examples=60, stateful_step_count=40)
 
 
-def test_a_damaged_head_is_rejected():
+def test_a_head_with_an_inconsistent_digest_is_rejected():
     head = changes.extend(changes.EMPTY_HEAD, "a", "x", {"service/a": "1"}, (), "m")
     head = changes.extend(head, "b", "x", {"service/b": "2"}, (), "m")
     bad = dataclasses.replace(head.changes[0], puts={"service/a": "9"})
@@ -124,7 +124,7 @@
     assert found.reason == "broken"
 
 
-def test_a_base_that_is_out_of_reach_is_refused():
+def test_a_base_older_than_the_recent_changes_is_refused():
     head = changes.EMPTY_HEAD
     for number in range(changes.KEPT_CHANGES + 5):
         head = changes.extend(head, f"c{number}", "x", {"service/a": str(number)}, (), "m")
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -1,4 +1,4 @@
-"""The promises on configuration, over the real keepers, stores and memberships."""
+"""Guarantees about configuration changes, checked on real keepers, stores and memberships."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class World:
-    """The instances, and what operators were told."""
+    """The instances, and the outcomes that were reported to the operators."""
 
     def __init__(self):
         self.control = control.Control({"h1": 3, "h2": 3, "h3": 3}, seed=7)
@@ -42,7 +42,7 @@
         self.clock.run_until(self.clock.seconds() + seconds)
 
     def apply(self, author, keys, base=None, entry="h2-1", seconds=30.0):
-        """Send a change through an instance and wait for its outcome."""
+        """Submit a change through an instance and wait for its outcome."""
         instance = self.control.instances[entry]
         self.marks += 1
         items = {}
@@ -92,18 +92,18 @@
 
 
 @given("a quarter of the writes and a quarter of the replies are lost")
-def half_lost(world):
+def quarter_lost(world):
     world.control.platform.faults.lost_reply_share = 0.25
     world.control.platform.faults.lost_request_share = 0.25
 
 
 @given(parsers.parse("the hall {hall} is cut off from the platform"))
-def cut_platform(world, hall):
+def cut_off_from_platform(world, hall):
     world.control.cut_from_platform(hall)
 
 
 @given(parsers.parse("the hall {hall} is cut off from the other halls"))
-def cut_peers(world, hall):
+def cut_off_from_peers(world, hall):
     world.control.cut_from_peers(hall)
     world.wait(5)
 
@@ -115,7 +115,7 @@
     before = sum(world.control.platform.calls.values())
     world.wait(seconds)
     calls = sum(world.control.platform.calls.values()) - before
-    # Retries are capped: watchers every 5 s at the slowest, members every 3 s.
+    # Backoff is capped: watchers retry at least every 5 s, members at least every 3 s.
     assert calls < 9 * seconds
 
 
@@ -137,7 +137,7 @@
 
 @when(parsers.parse("{count:d} operators race with {total:d} changes"))
 def race(world, count, total):
-    """Send all changes in waves of one for each operator, each at a random instance."""
+    """Submit the changes in rounds: one per operator, each through a random instance."""
     rng = random.Random(3)
     names = list(world.control.instances)
     for _ in range(total // count):
@@ -163,7 +163,7 @@
 
 
 @when(parsers.parse("{seconds:d} seconds pass"))
-def passes(world, seconds):
+def seconds_pass(world, seconds):
     world.wait(seconds)
 
 
@@ -200,7 +200,7 @@
     world.control.platform.faults.stale_reads = count
 
 
-@when("an instance starts that knows a peer", target_fixture="knowing")
+@when("an instance starts that knows a peer", target_fixture="with_peer")
 def start_with_peer(world):
     instance = world.control.add("h1-8", "h1")
     instance.start()
@@ -208,7 +208,7 @@
     return instance
 
 
-@when("an instance starts that knows nobody", target_fixture="lonely")
+@when("an instance starts that knows nobody", target_fixture="without_peers")
 def start_alone(world):
     instance = world.control.add("h1-9", "h1")
     instance.start()
@@ -222,7 +222,7 @@
     )
 )
 def pause(world, name, seconds):
-    """Hold back all that the instance would do and hear, then let it go on."""
+    """Block the instance's platform calls and queue its frames, then deliver them."""
     instance = world.control.instances[name]
     held = []
     deliver = instance.links.deliver
@@ -256,25 +256,25 @@
 
 
 @then("the change is not known to be accepted")
-def unsure(world):
-    # Content is written before the head, so the loss of every reply leaves nothing written yet.
+def outcome_unknown(world):
+    # Content is written before the head, so if every reply is lost the head is not written yet.
     assert not isinstance(world.last, config_store.Accepted)
 
 
 @then("the change can be settled as accepted later")
 def settle(world):
-    """Lose only the reply to the head's write: that one took effect."""
+    """Lose only the reply to the write of the head, which takes effect."""
     faults = world.control.platform.faults
     faults.lost_reply_share = 0.0
     instance = world.control.instances["h2-1"]
     write = instance.port.compare_and_swap
 
-    async def lose(key, data, expect):
+    async def write_and_lose_reply(key, data, expect):
         await write(key, data, expect)
         faults.is_down = True
         raise platform_client.PlatformUnsureError("the reply was lost")
 
-    instance.port.compare_and_swap = lose
+    instance.port.compare_and_swap = write_and_lose_reply
     outcome = world.apply("ana", ["a"])
     assert isinstance(outcome, config_store.Unsure)
     faults.is_down = False
@@ -304,13 +304,13 @@
 
 
 @then(parsers.parse("an alarm of kind {kind} was raised"))
-def alarmed(world, kind):
+def alarm_raised(world, kind):
     assert sum(i.keeper.alarms.get(kind, 0) for i in world.control.instances.values()) > 0
 
 
 @then("the accepted changes are exactly the chain")
 def chain(world):
-    """Every accepted change is in the history once, and nothing else is."""
+    """Check that the history contains every accepted change once and nothing else."""
     accepted = [o.change for o in world.outcomes if isinstance(o, config_store.Accepted)]
     versions = sorted(change.version for change in accepted)
     unsure = [o for o in world.outcomes if isinstance(o, config_store.Unsure)]
@@ -324,7 +324,7 @@
 
 
 @then("every refused change names the one that it lost to")
-def losers_told(world):
+def refusals_name_winner(world):
     refused = [o for o in world.outcomes if isinstance(o, config_store.Refused)]
     assert refused
     for outcome in refused:
@@ -333,7 +333,7 @@
 
 
 @then("every instance has the newest version and none ever stepped back")
-def monotone(world):
+def versions_increase(world):
     newest = world.head().version
     for instance in world.control.instances.values():
         versions = [version for _, version, _ in instance.versions]
@@ -342,6 +342,6 @@
 
 
 @then("the first has version 1 and the second has none")
-def started(knowing, lonely):
-    assert knowing.keeper.version == 1
-    assert lonely.keeper.version == 0
+def started(with_peer, without_peers):
+    assert with_peer.keeper.version == 1
+    assert without_peers.keeper.version == 0
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports between packages go one way, and no two modules import each other."""
+"""Packages are layered: imports go in one direction, and no two modules import each other."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     "wire": {"forwarding", "platform", "programs", "services", "standins"},
     "forwarding": {"engine", "programs", "standins"},
 }
-"""For each package those that stand above it or beside it."""
+"""For each package, the packages in the same or a higher layer, which it must not import."""
 
 
 def modules():
@@ -34,7 +34,7 @@
 GRAPH = {name: set(imported(tree)) for name, tree in modules()}
 
 
-def test_no_package_imports_one_that_stands_above_it():
+def test_no_package_imports_from_a_forbidden_package():
     wrong = [
         f"{name} imports {other}"
         for name, others in GRAPH.items()
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms that can be switched off: how they are named, and that no promise rests on them."""
+"""Mechanisms that can be disabled: their names, and that answers stay correct without them."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 Mechanism = mechanisms.Mechanism
 
 
-def test_names_are_read_with_blanks_between_them():
+def test_whitespace_and_empty_names_are_ignored():
     found = mechanisms.parse(" merge, search_hedges ,")
     assert found == {Mechanism.MERGE, Mechanism.SEARCH_HEDGES}
     assert mechanisms.parse("") == frozenset()
 
 
-def test_an_unknown_name_is_refused_with_the_known_ones():
+def test_the_error_for_an_unknown_name_lists_the_known_ones():
     with pytest.raises(
         mechanisms.UnknownMechanismError,
         match="unknown mechanism 'hedge'; known mechanisms: .*merge",
@@ -25,14 +25,14 @@
         mechanisms.parse("merge, hedge")
 
 
-def test_a_process_with_an_unknown_name_in_its_setting_does_not_start(monkeypatch):
+def test_a_process_with_an_unknown_name_in_its_settings_does_not_start(monkeypatch):
     monkeypatch.setenv(node_program.WITHOUT_VARIABLE, "nothing")
     with pytest.raises(node_program.platform_settings.SettingsError, match="LINEWORKS_WITHOUT"):
         node_program._load_settings()
 
 
 @pytest.mark.parametrize("mechanism", Mechanism, ids=lambda mechanism: mechanism.value)
-def test_without_a_mechanism_searches_and_reads_are_answered_rightly(mechanism):
+def test_without_a_mechanism_searches_and_reads_are_answered_correctly(mechanism):
     world = test_forwarding.build(without=[mechanism])
     replies = {}
     for name in world.nodes:
@@ -45,7 +45,7 @@
         assert reply.status == 200
 
 
-def seconds_beside_a_slow_target(without):
+def seconds_with_a_slow_target(without):
     world = test_forwarding.build(without=without)
     slow = next(
         target
@@ -58,10 +58,8 @@
     return reply.seconds
 
 
-def test_without_hedges_a_search_is_answered_late_and_with_them_in_time():
+def test_a_search_with_a_slow_target_is_late_only_without_hedges():
     both = [Mechanism.SEARCH_HEDGES, Mechanism.EARLY_ANSWER]
-    assert seconds_beside_a_slow_target(both) > 1.0
-    assert seconds_beside_a_slow_target([Mechanism.SEARCH_HEDGES]) == pytest.approx(
-        0.187, abs=0.003
-    )
-    assert seconds_beside_a_slow_target([]) < 0.18
+    assert seconds_with_a_slow_target(both) > 1.0
+    assert seconds_with_a_slow_target([Mechanism.SEARCH_HEDGES]) == pytest.approx(0.187, abs=0.003)
+    assert seconds_with_a_slow_target([]) < 0.18
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -12,7 +12,7 @@
 
 @hypothesis.given(_names, st.integers(1, 4))
 @hypothesis.settings(max_examples=100)
-def test_order_of_instances_does_not_matter(names, count):
+def test_the_order_of_instances_does_not_matter(names, count):
     first = ownership.owners("s", sorted(names), count)
     assert first == ownership.owners("s", sorted(names, reverse=True), count)
     assert len(first) == min(count, len(names))
@@ -33,12 +33,12 @@
 
 @hypothesis.given(st.integers(5, 1000), st.integers(0, 2))
 @hypothesis.settings(max_examples=100)
-def test_owners_with_differing_views_stay_within_the_cap(connections, extra):
-    believers = ownership.owner_count(connections) + extra
-    assert believers * ownership.connection_share(connections) <= max(connections, believers)
+def test_owners_with_differing_views_stay_within_the_connection_limit(connections, extra):
+    presumed = ownership.owner_count(connections) + extra
+    assert presumed * ownership.connection_share(connections) <= max(connections, presumed)
 
 
-def test_services_spread_over_instances():
+def test_services_are_spread_evenly_over_instances():
     names = [f"i-{number}" for number in range(10)]
     counts = dict.fromkeys(names, 0)
     for number in range(2000):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a search: the greatest records, and no shard twice."""
+"""Parts of a search: the answer has the top records and counts no shard twice."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @given(st.lists(RECORDS, min_size=1, max_size=6), st.integers(1, 9), st.randoms())
-def test_merging_in_any_grouping_keeps_the_greatest(bodies, top, rng):
+def test_merging_in_any_grouping_keeps_the_top_records(bodies, top, rng):
     singles = [part([number], body, top) for number, body in enumerate(bodies)]
     cut = rng.randint(0, len(singles))
     found = parts.PartSet(len(singles), top)
@@ -29,16 +29,16 @@
     assert found.missing == 0
 
 
-def test_equal_records_all_count():
+def test_duplicate_records_are_kept():
     same = b"x" * 16
     assert parts.top_records([same, same, same], 2) == (same, same)
 
 
-def test_a_remainder_is_no_record():
+def test_an_incomplete_record_is_dropped():
     assert parts.split_records(b"a" * 16 + b"b" * 15) == [b"a" * 16]
 
 
-def test_a_shard_never_enters_twice():
+def test_a_shard_is_never_added_twice():
     found = parts.PartSet(4, 5)
     assert found.add(part([0], [b"a" * 16]))
     assert found.add(part([1, 2], [b"b" * 16]))
@@ -47,8 +47,8 @@
     assert found.merged().stamps == ("s0", "s1", "s2")
 
 
-def test_a_merged_result_never_takes_the_place_of_a_part_that_is_in():
-    # Parts that were cut at a floor stay right only while the parts behind that floor stay.
+def test_a_merged_part_never_replaces_an_added_one():
+    # Parts filtered by a floor stay correct only while the parts that define the floor are kept.
     found = parts.PartSet(4, 5)
     found.add(part([1], [b"a" * 16]))
     assert not found.add(part([1, 2], [b"b" * 16]))
@@ -73,7 +73,7 @@
     assert found.floor() == b"b" * 16
 
 
-def test_the_least_share_is_rounded_up():
+def test_the_number_of_required_shards_is_rounded_up():
     assert parts.required_shards(20, 0.89) == 18
     assert parts.required_shards(20, 0.75) == 15
     assert parts.required_shards(30, 0.89) == 27
--- a/tests/test_work_split.py
+++ b/tests/test_work_split.py
@@ -1,4 +1,4 @@
-"""A search over many shards is asked by several instances of a hall, a small one by one."""
+"""A search over many shards is split among several instances of a hall, a small one is not."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def count_calls(world):
-    """Count the calls to targets by try and instance."""
+    """Count the calls to targets by attempt and instance."""
     calls = collections.defaultdict(collections.Counter)
     for name, node in world.nodes.items():
         send = node._calls.send
@@ -72,8 +72,9 @@
 
 
 @pytest.mark.parametrize("halls", [deployment.HALLS, ("wlg",)])
-def test_no_instance_asks_more_of_a_large_search_than_it_should(halls):
-    # One instance asked all 110 targets of its hall, which took some 13 ms of a whole core.
+def test_no_instance_queries_too_many_shards_of_a_large_search(halls):
+    # Guards against one instance querying all 110 targets of its hall, which took about 13 ms of a
+    # core.
     world = build(halls=halls)
     calls = count_calls(world)
     for name in ("akl-0", "wlg-1", "chc-3"):
@@ -84,21 +85,21 @@
     assert not sum(node._counters.hedges for node in world.nodes.values())
 
 
-def test_without_the_mechanism_one_instance_asks_all():
+def test_without_the_mechanism_one_instance_queries_all_shards():
     world = build(without=[mechanisms.Mechanism.WORK_SPLIT])
     calls = count_calls(world)
     check(world, ask(world, "akl-0", "q"), "q")
     assert max(calls["q"].values()) == MANY
 
 
-def test_a_small_search_stays_in_one_piece():
+def test_a_small_search_is_not_split():
     world = build(shards=work_split.MAX_SHARDS_PER_INSTANCE)
     calls = count_calls(world)
     check(world, ask(world, "akl-0", "q"), "q", work_split.MAX_SHARDS_PER_INSTANCE)
     assert dict(calls["q"]) == {"akl-0": work_split.MAX_SHARDS_PER_INSTANCE}
 
 
-def test_an_instance_alone_in_its_hall_asks_all_by_itself():
+def test_an_instance_alone_in_its_hall_queries_all_shards():
     world = build(nodes=1)
     calls = count_calls(world)
     assert check(world, ask(world, "akl-0", "q"), "q") == MANY
@@ -106,7 +107,7 @@
 
 
 @pytest.mark.parametrize("fault", ["kill", "freeze"])
-def test_a_helper_that_is_lost_costs_no_answer_and_brings_no_shard_in_twice(fault):
+def test_the_loss_of_a_helper_loses_no_answer_and_counts_no_shard_twice(fault):
     world = build(work=lambda: 0.03)
     calls = count_calls(world)
     reply = world.ask("akl-0", "/search/q", attempt="q")
@@ -118,7 +119,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_pieces_hold_every_item_once_and_are_of_like_size(seed):
+def test_pieces_contain_every_item_once_and_are_of_similar_size(seed):
     rng = random.Random(seed)
     items = list(range(rng.randint(0, 400)))
     helpers = rng.randint(0, 9)
@@ -131,9 +132,9 @@
     assert len(items) > work_split.MAX_SHARDS_PER_INSTANCE or count == 1
 
 
-def test_shards_that_are_only_somewhat_slower_at_home_are_asked_directly_there():
-    # Asked with those of other halls, the own hall may save asking one more of them; its targets
-    # were then asked through a peer, one more message there and back.
+def test_slightly_slower_targets_of_the_own_hall_are_queried_directly():
+    # Querying slightly slower targets in the instance's own hall may avoid querying another hall.
+    # They must be queried directly, since going through a peer costs another message round trip.
     world = build(shards=30)
     for target in list(world.targets.values()):
         if target.hall == ("wlg" if target.service < "s010" else "chc"):
