--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -58,7 +58,7 @@
     return reply.seconds
 
 
-def test_a_search_with_a_slow_target_is_late_only_without_hedges():
+def test_a_search_with_a_slow_target_is_late_without_hedges_and_early_answers():
     both = [Mechanism.SEARCH_HEDGES, Mechanism.EARLY_ANSWER]
     assert seconds_with_a_slow_target(both) > 1.0
     assert seconds_with_a_slow_target([Mechanism.SEARCH_HEDGES]) == pytest.approx(0.187, abs=0.003)
