--- a/src/lineworks/engine/front.py
+++ b/src/lineworks/engine/front.py
@@ -369,7 +369,7 @@
         """Release the resources of a query and send its answer."""
         query.is_finished = True
         shard_coverage = answers.compute_coverage(query)
-        result = problem or coverage.judge(shard_coverage, query.policy, query.min_coverage)
+        result = problem or coverage.evaluate(shard_coverage, query.policy, query.min_coverage)
         bodies = {
             shard.shard: shard.body
             for shard in query.shards
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Small builders shared by the tests."""
+"""Builders for test data, shared by the tests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def plan(**more) -> scenario.Scenario:
-    """Make a small scenario: two halls, three instances, six services."""
+    """Create a small scenario with two halls, three instances and six services."""
     document = {
         "name": "test",
         "deployment": {
@@ -42,8 +42,8 @@
     return runner.Run(document, seed, runner.POLICIES[policy]())
 
 
-def broken(figures: dict) -> dict[str, int]:
+def violations(figures: dict) -> dict[str, int]:
     return {name: figures[name] for name in check.ZERO_COUNTS if figures[name]}
 
 
-__all__ = ["broken", "clusters", "group", "plan", "run_plan", "service", "target"]
+__all__ = ["clusters", "group", "plan", "run_plan", "service", "target", "violations"]
--- a/tests/test_work_split.py
+++ b/tests/test_work_split.py
@@ -1,4 +1,4 @@
-"""A search over many shards is asked by several instances of a hall, a small one by one."""
+"""A search over many shards is split among several instances of a hall, a small one is not."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
     return world
 
 
-def note_calls(world):
-    """Count the calls to targets by try and instance."""
+def count_calls(world):
+    """Count the calls to targets by attempt and instance."""
     calls = collections.defaultdict(collections.Counter)
     for name, node in world.nodes.items():
         send = node._calls.send
@@ -67,48 +67,49 @@
     records = []
     for stamp in stamps:
         records += parts.split_records(world.targets[stamp.split(".")[2]].records(attempt))
-    assert reply.body == b"".join(parts.greatest(records, 50))
+    assert reply.body == b"".join(parts.top_records(records, 50))
     return len(stamps)
 
 
 @pytest.mark.parametrize("halls", [deployment.HALLS, ("wlg",)])
-def test_no_instance_asks_more_of_a_large_search_than_it_should(halls):
-    # One instance asked all 110 targets of its hall, which took some 13 ms of a whole core.
+def test_no_instance_queries_too_many_shards_of_a_large_search(halls):
+    # Guards against one instance querying all 110 targets of its hall, which took about 13 ms of a
+    # core.
     world = build(halls=halls)
-    calls = note_calls(world)
+    calls = count_calls(world)
     for name in ("akl-0", "wlg-1", "chc-3"):
         reply = ask(world, name, name)
         assert check(world, reply, name) == MANY
         assert sum(calls[name].values()) == MANY
-        assert max(calls[name].values()) <= work_split.MOST_TOGETHER
+        assert max(calls[name].values()) <= work_split.MAX_SHARDS_PER_INSTANCE
     assert not sum(node._counters.hedges for node in world.nodes.values())
 
 
-def test_without_the_mechanism_one_instance_asks_all():
+def test_without_the_mechanism_one_instance_queries_all_shards():
     world = build(without=[mechanisms.Mechanism.WORK_SPLIT])
-    calls = note_calls(world)
+    calls = count_calls(world)
     check(world, ask(world, "akl-0", "q"), "q")
     assert max(calls["q"].values()) == MANY
 
 
-def test_a_small_search_stays_in_one_piece():
-    world = build(shards=work_split.MOST_TOGETHER)
-    calls = note_calls(world)
-    check(world, ask(world, "akl-0", "q"), "q", work_split.MOST_TOGETHER)
-    assert dict(calls["q"]) == {"akl-0": work_split.MOST_TOGETHER}
+def test_a_small_search_is_not_split():
+    world = build(shards=work_split.MAX_SHARDS_PER_INSTANCE)
+    calls = count_calls(world)
+    check(world, ask(world, "akl-0", "q"), "q", work_split.MAX_SHARDS_PER_INSTANCE)
+    assert dict(calls["q"]) == {"akl-0": work_split.MAX_SHARDS_PER_INSTANCE}
 
 
-def test_an_instance_alone_in_its_hall_asks_all_by_itself():
+def test_an_instance_alone_in_its_hall_queries_all_shards():
     world = build(nodes=1)
-    calls = note_calls(world)
+    calls = count_calls(world)
     assert check(world, ask(world, "akl-0", "q"), "q") == MANY
     assert dict(calls["q"]) == {"akl-0": MANY}
 
 
 @pytest.mark.parametrize("fault", ["kill", "freeze"])
-def test_a_helper_that_is_lost_costs_no_answer_and_brings_no_shard_in_twice(fault):
+def test_the_loss_of_a_helper_loses_no_answer_and_counts_no_shard_twice(fault):
     world = build(work=lambda: 0.03)
-    calls = note_calls(world)
+    calls = count_calls(world)
     reply = world.ask("akl-0", "/search/q", attempt="q")
     world.run(0.015)
     helper = next(name for name in calls["q"] if name != "akl-0")
@@ -118,7 +119,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_pieces_hold_every_item_once_and_are_of_like_size(seed):
+def test_pieces_contain_every_item_once_and_are_of_similar_size(seed):
     rng = random.Random(seed)
     items = list(range(rng.randint(0, 400)))
     helpers = rng.randint(0, 9)
@@ -128,18 +129,18 @@
     assert sorted(item for piece in found for item in piece) == items
     sizes = [len(piece) for piece in found]
     assert max(sizes) - min(sizes) <= 1
-    assert len(items) > work_split.MOST_TOGETHER or count == 1
+    assert len(items) > work_split.MAX_SHARDS_PER_INSTANCE or count == 1
 
 
-def test_shards_that_are_only_somewhat_slower_at_home_are_asked_directly_there():
-    # Asked with those of other halls, the own hall may save asking one more of them; its targets
-    # were then asked through a peer, one more message there and back.
+def test_slightly_slower_targets_of_the_own_hall_are_queried_directly():
+    # Querying slightly slower targets in the instance's own hall may avoid querying another hall.
+    # They must be queried directly, since going through a peer costs another message round trip.
     world = build(shards=30)
     for target in list(world.targets.values()):
         if target.hall == ("wlg" if target.service < "s010" else "chc"):
             world.withdraw(target)
     world.run(3.0)
-    calls = note_calls(world)
+    calls = count_calls(world)
     front = world.nodes["akl-0"]
     now = world.clock.seconds()
     for state in front._book.states:
