--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -316,7 +316,7 @@
         return catalog.Selector("all", {}, {"app": self.options.app}, policy)
 
 
-def lie(report: replicas.Report) -> replicas.Report:
+def lie(report: replicas.StatusReport) -> replicas.StatusReport:
     """Make a report that claims an idle target holding a newer snapshot than it does.
 
     Args:
@@ -327,4 +327,4 @@
     """
     newest = max(report.holds, default=FIRST)
     claimed = report.holds | {catalog.Snapshot(newest.version + 1, newest.layout)}
-    return replicas.Report(report.incarnation, claimed, 0, 0, False, report.is_leaving)
+    return replicas.StatusReport(report.incarnation, claimed, 0, 0, False, report.is_leaving)
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -132,10 +132,12 @@
         cluster.clock.callLater(fault.seconds, _tell_truth, gate)
 
 
-def _make_lag(cluster: clusters.Cluster) -> Callable[[replicas.Report], replicas.Report]:
-    seen: list[tuple[float, replicas.Report]] = []
+def _make_lag(
+    cluster: clusters.Cluster,
+) -> Callable[[replicas.StatusReport], replicas.StatusReport]:
+    seen: list[tuple[float, replicas.StatusReport]] = []
 
-    def lag(report: replicas.Report) -> replicas.Report:
+    def lag(report: replicas.StatusReport) -> replicas.StatusReport:
         now = cluster.clock.seconds()
         seen.append((now, report))
         while len(seen) > 1 and seen[1][0] <= now - REPORT_LAG:
--- a/bench/platform_slopes.py
+++ b/bench/platform_slopes.py
@@ -145,10 +145,10 @@
                         f"{number:024x}",
                         0,
                         tuple(
-                            suspects.End(
+                            suspects.TargetEnd(
                                 f"i-{number * 16 + end:010x}", f"{number:016x}", 0.0, False
                             )
-                            for end in range(suspects.MOST_ENDS)
+                            for end in range(suspects.MAX_ENDS)
                         ),
                     ),
                 )
--- a/bench/runner.py
+++ b/bench/runner.py
@@ -35,14 +35,14 @@
     """Whether stragglers and faults are left out."""
 
 
-def _unbounded(choose: replicas.Choice, hedge: hedging.Rule) -> sub_query.Tuning:
+def _unbounded(choose: replicas.ChooseReplica, hedge: hedging.HedgeRule) -> sub_query.Tuning:
     return sub_query.Tuning(choose, is_bounded=False, ejects_stalled=False, hedge=hedge)
 
 
 POLICIES: dict[str, Callable[[], PolicyUnderTest]] = {
     "baseline_random": lambda: PolicyUnderTest(
-        front_state.Tuning(hedge=hedging.never, is_admitting=False, is_routing_by_load=False),
-        _unbounded(replicas.choose_random, hedging.never),
+        front_state.Tuning(hedge=hedging.never_hedge, is_admitting=False, is_routing_by_load=False),
+        _unbounded(replicas.choose_random, hedging.never_hedge),
     ),
     "baseline_p95_hedge": lambda: PolicyUnderTest(
         front_state.Tuning(
@@ -55,8 +55,8 @@
     ),
     "lineworks": lambda: PolicyUnderTest(front_state.Tuning(), sub_query.Tuning()),
     "oracle": lambda: PolicyUnderTest(
-        front_state.Tuning(hedge=hedging.never),
-        sub_query.Tuning(hedge=hedging.never),
+        front_state.Tuning(hedge=hedging.never_hedge),
+        sub_query.Tuning(hedge=hedging.never_hedge),
         is_ideal=True,
     ),
 }
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -68,7 +68,7 @@
 
 def _replica(number: int) -> replicas.Replica:
     replica = replicas.make_replica(_target(number))
-    replica.on_report(0.0, replicas.Report(f"i-{number}", frozenset({_SNAPSHOT})))
+    replica.on_report(0.0, replicas.StatusReport(f"i-{number}", frozenset({_SNAPSHOT})))
     return replica
 
 
--- a/src/lineworks/decisions/admission.py
+++ b/src/lineworks/decisions/admission.py
@@ -63,7 +63,7 @@
         self._virtual = 0.0
         self._waiting = 0
         self._in_flight = 0
-        self._latency = estimators.Average(0.1)
+        self._latency = estimators.MovingAverage(0.1)
 
     @property
     def in_flight(self) -> int:
--- a/src/lineworks/decisions/cold_targets.py
+++ b/src/lineworks/decisions/cold_targets.py
@@ -34,7 +34,7 @@
     slack: float = 0.0
     """Requests a second besides."""
 
-    def most(self, rate: float) -> int:
+    def max_requests(self, rate: float) -> int:
         """Tell how many requests a second a cold target may get from all instances together.
 
         Args:
@@ -62,7 +62,7 @@
         self._seen: dict[str, float] = {}
         self._sent: dict[str, collections.deque[float]] = {}
 
-    def note_count(self, count: int) -> None:
+    def note_instance_count(self, count: int) -> None:
         """Take in how many instances may live.
 
         Args:
@@ -70,7 +70,7 @@
         """
         self._count = count
 
-    def note_names(self, names: Iterable[str], now: float) -> None:
+    def note_instances(self, names: Iterable[str], now: float) -> None:
         """Take in which instances there are.
 
         Args:
@@ -92,17 +92,17 @@
         Returns:
             Whole requests; 0 while the number of instances is not known.
         """
-        most = self._bound.most(rate)
+        max_requests = self._bound.max_requests(rate)
         others = self._seen.keys() - {self._own}
         count = max(self._count, len(others) + 1)
-        if not self._count or most <= 0:
+        if not self._count or max_requests <= 0:
             return 0
-        if count <= most:
-            return most // count
+        if count <= max_requests:
+            return max_requests // count
         mine = ownership.score(self._own, target)
         before = sum(1 for name in others if ownership.score(name, target) >= mine)
         unknown = count - 1 - len(others)
-        return 1 if before + unknown < most else 0
+        return 1 if before + unknown < max_requests else 0
 
     def may_send(self, target: str, rate: float, now: float) -> bool:
         """Say whether a request may be sent to a cold target now.
--- a/src/lineworks/decisions/estimators.py
+++ b/src/lineworks/decisions/estimators.py
@@ -78,7 +78,7 @@
         self._since_decay = 0
 
 
-class Average:
+class MovingAverage:
     """An exponentially weighted moving average."""
 
     def __init__(self, weight: float) -> None:
@@ -105,7 +105,7 @@
             self.value = sample
 
 
-class Budget:
+class TokenBudget:
     """Tokens earned by regular work and spent on extra work."""
 
     def __init__(self, burst: float, start: float | None = None) -> None:
--- a/src/lineworks/decisions/evacuations.py
+++ b/src/lineworks/decisions/evacuations.py
@@ -16,7 +16,7 @@
     from collections.abc import Iterable
 
 
-WRITTEN_SECONDS = 1.0
+REWRITE_MARGIN_SECONDS = 1.0
 """Seconds before the end of the time for which a missing evacuation is obeyed by which the
 operators have written it again."""
 
@@ -31,7 +31,7 @@
     position: positions.Position
     """Position of the change."""
 
-    is_asked: bool
+    is_evacuated: bool
     """Whether nothing more is to be sent to the hall's targets."""
 
 
@@ -46,7 +46,7 @@
     @property
     def halls(self) -> frozenset[str]:
         """Halls whose targets get no new work."""
-        return frozenset(hall for hall, change in self._latest.items() if change.is_asked)
+        return frozenset(hall for hall, change in self._latest.items() if change.is_evacuated)
 
     def apply(self, changes: Iterable[EvacuationChange]) -> bool:
         """Take in changes.
@@ -106,7 +106,7 @@
         due = [
             hall
             for hall, until in self._held.items()
-            if until <= now and until - WRITTEN_SECONDS <= asked_at
+            if until <= now and until - REWRITE_MARGIN_SECONDS <= asked_at
         ]
         for hall in due:
             del self._held[hall]
--- a/src/lineworks/decisions/hall_ways.py
+++ b/src/lineworks/decisions/hall_ways.py
@@ -16,16 +16,16 @@
 OTHER_REGION_SECONDS = 0.02
 """Way there and back between regions, in seconds: 16 and 24 ms on the users' sheets."""
 
-REMOTE_RELUCTANCE = 0.02
+REMOTE_PENALTY_SECONDS = 0.02
 """Seconds that a target in another hall must be faster by before it is preferred: its answer
 costs bytes between halls."""
 
 
-CONNECT_FLOOR = 0.06
+CONNECT_BASE_SECONDS = 0.06
 """Seconds that a connection may always take to open: a target takes 6 ms for one, and may have
 others to take first."""
 
-CONNECT_WAYS = 3.0
+CONNECT_ROUND_TRIPS = 3.0
 """Ways there and back besides. A target that is dark never answers, and what waits for it has not
 run and could be elsewhere, while half a second is more than an urgent search has in all."""
 
@@ -39,10 +39,10 @@
     Returns:
         Seconds.
     """
-    return CONNECT_FLOOR + CONNECT_WAYS * round_trip
+    return CONNECT_BASE_SECONDS + CONNECT_ROUND_TRIPS * round_trip
 
 
-class HallWays:
+class HallRoundTrips:
     """The ways from one hall."""
 
     def __init__(self, hall: str, regions: Mapping[str, str]) -> None:
@@ -58,11 +58,11 @@
         self._costs: dict[str, float] = {}
 
     @property
-    def farthest(self) -> float:
+    def longest(self) -> float:
         """Way to the farthest hall and back, in seconds."""
         return max((self.round_trip(hall) for hall in self._regions), default=SAME_HALL_SECONDS)
 
-    def is_home(self, hall: str, homes: Collection[str]) -> bool:
+    def is_in_home_region(self, hall: str, homes: Collection[str]) -> bool:
         """Say whether requests with home regions may be served in a hall.
 
         Args:
@@ -85,7 +85,7 @@
         """
         known = self._costs.get(hall)
         if known is None:
-            reluctance = REMOTE_RELUCTANCE if hall != self._hall else 0.0
+            reluctance = REMOTE_PENALTY_SECONDS if hall != self._hall else 0.0
             known = self._costs[hall] = self.round_trip(hall) + reluctance
         return known
 
--- a/src/lineworks/decisions/hedging.py
+++ b/src/lineworks/decisions/hedging.py
@@ -15,29 +15,29 @@
 
     from lineworks.decisions import estimators
 
-LEAST_SHARE = 0.8
+MIN_BUDGET_SHARE = 0.8
 """Share of the hedge budget that the threshold is set to use up when no token is left."""
 
-MOST_SHARE = 1.4
+MAX_BUDGET_SHARE = 1.4
 """Share of the hedge budget that the threshold is set to use up when all tokens are left."""
 
 _FILL_STEPS = 8
 
-MIN_LAST = 2
+MIN_STRAGGLERS = 2
 """Outstanding sub-queries that count as a query's last stragglers in any case."""
 
-LAST_SHARE = 0.1
+MAX_STRAGGLER_SHARE = 0.1
 """Outstanding sub-queries, as a share of all, that count as its last stragglers."""
 
-LEAST_CHECK = 0.001
+MIN_CHECK_SECONDS = 0.001
 """Seconds between looks at one message's slow sub-queries at least."""
 
-WAIT_FOR_BULK = 0.002
+RECHECK_SECONDS = 0.002
 """Seconds after which a query whose bulk is still out is looked at again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Progress:
+class QueryProgress:
     """How far a query is, as seen for one batch of its sub-queries."""
 
     elapsed: float
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Advice:
+class Decision:
     """What a rule says of a batch."""
 
     should_hedge: bool
@@ -64,14 +64,16 @@
     """Seconds until the rule wants to be asked again; None for never."""
 
 
-Rule: TypeAlias = "Callable[[Progress, estimators.Quantiles, float], Advice]"
+HedgeRule: TypeAlias = "Callable[[QueryProgress, estimators.Quantiles, float], Decision]"
 """(progress, latencies of batches on this path, hedge budget as a share) to advice."""
 
-NEVER = Advice(False, None)
+NO_HEDGE = Decision(False, None)
 """Advice of a rule that does not hedge."""
 
 
-def never(progress: Progress, latencies: estimators.Quantiles, budget: float) -> Advice:
+def never_hedge(
+    progress: QueryProgress, latencies: estimators.Quantiles, budget: float
+) -> Decision:
     """Never hedge.
 
     Args:
@@ -80,13 +82,13 @@
         budget: Unused.
 
     Returns:
-        `NEVER`.
+        `NO_HEDGE`.
     """
     del progress, latencies, budget
-    return NEVER
+    return NO_HEDGE
 
 
-def make_percentile_rule(share: float) -> Rule:
+def make_percentile_rule(share: float) -> HedgeRule:
     """Make the plain rule: hedge whatever is slower than a fixed percentile.
 
     Args:
@@ -96,21 +98,23 @@
         The rule.
     """
 
-    def rule(progress: Progress, latencies: estimators.Quantiles, budget: float) -> Advice:
+    def rule(progress: QueryProgress, latencies: estimators.Quantiles, budget: float) -> Decision:
         del budget
         if not latencies.has_samples:
-            return NEVER
+            return NO_HEDGE
         threshold = latencies.quantile(share)
         if progress.elapsed < threshold:
-            return Advice(False, threshold - progress.elapsed)
-        return Advice(True, None)
+            return Decision(False, threshold - progress.elapsed)
+        return Decision(True, None)
 
     return rule
 
 
 def make_progress_rule(
-    last_share: float = LAST_SHARE, least: float = LEAST_SHARE, most: float = MOST_SHARE
-) -> Rule:
+    max_straggler_share: float = MAX_STRAGGLER_SHARE,
+    min_budget_share: float = MIN_BUDGET_SHARE,
+    max_budget_share: float = MAX_BUDGET_SHARE,
+) -> HedgeRule:
     """Make the rule in force: hedge a query's last stragglers at a threshold set by the budget.
 
     The threshold is the latency that a share of sub-queries exceeds which would use up the
@@ -126,22 +130,24 @@
         The rule.
     """
 
-    def rule(progress: Progress, latencies: estimators.Quantiles, budget: float) -> Advice:
+    def rule(progress: QueryProgress, latencies: estimators.Quantiles, budget: float) -> Decision:
         if not latencies.has_samples:
-            return NEVER
+            return NO_HEDGE
         fill = round(progress.budget_fill * _FILL_STEPS) / _FILL_STEPS
-        aim = least + (most - least) * fill
-        threshold = latencies.quantile(1.0 - budget * aim)
+        target_share = min_budget_share + (max_budget_share - min_budget_share) * fill
+        threshold = latencies.quantile(1.0 - budget * target_share)
         if progress.elapsed < threshold:
-            return Advice(False, threshold - progress.elapsed)
-        if progress.outstanding > max(MIN_LAST, progress.total * last_share):
-            return Advice(False, WAIT_FOR_BULK)
-        return Advice(True, WAIT_FOR_BULK)
+            return Decision(False, threshold - progress.elapsed)
+        if progress.outstanding > max(MIN_STRAGGLERS, progress.total * max_straggler_share):
+            return Decision(False, RECHECK_SECONDS)
+        return Decision(True, RECHECK_SECONDS)
 
     return rule
 
 
-def make_bulk_rule(factor: float = 1.5, last: int = MIN_LAST) -> Rule:
+def make_quantile_multiple_rule(
+    factor: float = 1.5, max_stragglers: int = MIN_STRAGGLERS
+) -> HedgeRule:
     """Make the rule of the probe: hedge the last few after `factor` times the bulk's time.
 
     Args:
@@ -152,15 +158,15 @@
         The rule.
     """
 
-    def rule(progress: Progress, latencies: estimators.Quantiles, budget: float) -> Advice:
+    def rule(progress: QueryProgress, latencies: estimators.Quantiles, budget: float) -> Decision:
         del budget
         if not latencies.has_samples:
-            return NEVER
+            return NO_HEDGE
         threshold = latencies.quantile(0.9) * factor
         if progress.elapsed < threshold:
-            return Advice(False, threshold - progress.elapsed)
-        if progress.outstanding > last:
-            return Advice(False, WAIT_FOR_BULK)
-        return Advice(True, None)
+            return Decision(False, threshold - progress.elapsed)
+        if progress.outstanding > max_stragglers:
+            return Decision(False, RECHECK_SECONDS)
+        return Decision(True, None)
 
     return rule
--- a/src/lineworks/decisions/replicas.py
+++ b/src/lineworks/decisions/replicas.py
@@ -26,27 +26,27 @@
 FOREIGN_LOAD_CAP = 2.0
 """Load by other instances that a report can claim, as a multiple of the target's slots."""
 
-DISBELIEF = 5.0
+SNAPSHOT_REFUSAL_SECONDS = 5.0
 """Seconds for which a snapshot that a target refused is not believed to be held by it."""
 
-SUSPECT_AFTER = 2
+EJECT_AFTER_LOSSES = 2
 """Slow attempts in a row, without a reply between them, that make a replica suspect."""
 
-SUSPECT_START = 0.1
+EJECTION_START_SECONDS = 0.1
 """Seconds that a suspect is passed over at first; doubled with each further loss."""
 
-SUSPECT_CAP = 2.0
+EJECTION_CAP_SECONDS = 2.0
 """Seconds that a suspect is passed over at most before it is tried again."""
 
-BACKOFF_START = 0.05
+BACKOFF_START_SECONDS = 0.05
 """Seconds that a target is left alone after a first failure to connect."""
 
-BACKOFF_CAP = 5.0
+BACKOFF_CAP_SECONDS = 5.0
 """Seconds that a target is left alone at most."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Report:
+class StatusReport:
     """What a target says of itself, in a reply or when asked."""
 
     incarnation: str
@@ -81,7 +81,7 @@
     in_flight: int = 0
     """Own attempts under way."""
 
-    foreign: float = 0.0
+    foreign_load: float = 0.0
     """Load by others, by the last report."""
 
     reported_at: float = -math.inf
@@ -102,10 +102,10 @@
     failures: int = 0
     """Failures in a row to reach the target."""
 
-    rest_until: float = -math.inf
+    backoff_until: float = -math.inf
     """Time before which it is not tried again."""
 
-    disbelieved: dict[catalog.Snapshot, float] = dataclasses.field(default_factory=dict)
+    refused_snapshots: dict[catalog.Snapshot, float] = dataclasses.field(default_factory=dict)
     """Snapshots that the target claims and yet refused, each with the time until which."""
 
     progress_at: float = -math.inf
@@ -114,7 +114,7 @@
     losses: int = 0
     """Slow attempts given up since the target last replied."""
 
-    suspect_until: float = -math.inf
+    ejected_until: float = -math.inf
     """Time before which other replicas are preferred, because of the losses."""
 
     def load(self, now: float) -> float:
@@ -127,9 +127,9 @@
             Own attempts plus the aged load by others.
         """
         age = now - self.reported_at
-        return self.in_flight + self.foreign * 0.5 ** (age / REPORT_HALF_LIFE)
+        return self.in_flight + self.foreign_load * 0.5 ** (age / REPORT_HALF_LIFE)
 
-    def is_stalled(self, now: float, patience: float) -> bool:
+    def is_stalled(self, now: float, stall_timeout: float) -> bool:
         """Say whether work is under way without any sign of progress.
 
         Args:
@@ -139,9 +139,9 @@
         Returns:
             True when the target looks stuck.
         """
-        if self.suspect_until > now:
+        if self.ejected_until > now:
             return True
-        return self.in_flight > 0 and now - self.progress_at > patience
+        return self.in_flight > 0 and now - self.progress_at > stall_timeout
 
     def on_started(self, now: float) -> None:
         """Note an attempt handed to the target.
@@ -165,18 +165,18 @@
             self.progress_at = now
             self.failures = 0
             self.losses = 0
-            self.suspect_until = -math.inf
+            self.ejected_until = -math.inf
 
-    def on_lost_race(self, now: float) -> None:
+    def on_attempt_abandoned(self, now: float) -> None:
         """Note that a slow attempt was given up, which hides a stall from `is_stalled`.
 
         Args:
             now: The present, in seconds.
         """
         self.losses += 1
-        if self.losses >= SUSPECT_AFTER:
-            pause = SUSPECT_START * 2 ** (self.losses - SUSPECT_AFTER)
-            self.suspect_until = now + min(SUSPECT_CAP, pause)
+        if self.losses >= EJECT_AFTER_LOSSES:
+            pause = EJECTION_START_SECONDS * 2 ** (self.losses - EJECT_AFTER_LOSSES)
+            self.ejected_until = now + min(EJECTION_CAP_SECONDS, pause)
 
     def on_unreachable(self, now: float, rng: random.Random) -> None:
         """Leave the target alone for a while, longer each time.
@@ -186,8 +186,8 @@
             rng: Source of the jitter.
         """
         self.failures += 1
-        rest = min(BACKOFF_CAP, BACKOFF_START * 2 ** min(self.failures, 10))
-        self.rest_until = now + rest * (0.5 + rng.random() / 2)
+        rest = min(BACKOFF_CAP_SECONDS, BACKOFF_START_SECONDS * 2 ** min(self.failures, 10))
+        self.backoff_until = now + rest * (0.5 + rng.random() / 2)
 
     def on_snapshot_refused(self, now: float, snapshot: catalog.Snapshot) -> None:
         """Believe the target's refusal over its reports for a while.
@@ -196,10 +196,10 @@
             now: The present, in seconds.
             snapshot: The snapshot that it refused, or did not answer from.
         """
-        self.disbelieved[snapshot] = now + DISBELIEF
+        self.refused_snapshots[snapshot] = now + SNAPSHOT_REFUSAL_SECONDS
         self.holds = self.holds - {snapshot}
 
-    def on_report(self, now: float, report: Report) -> None:
+    def on_report(self, now: float, report: StatusReport) -> None:
         """Take in what the target says of itself.
 
         Args:
@@ -215,8 +215,10 @@
             self.limit.restart_cold()
         self.is_cold = report.is_cold
         self.is_leaving = self.is_leaving or report.is_leaving
-        self.disbelieved = {s: until for s, until in self.disbelieved.items() if until > now}
-        self.holds = report.holds.difference(self.disbelieved)
+        self.refused_snapshots = {
+            s: until for s, until in self.refused_snapshots.items() if until > now
+        }
+        self.holds = report.holds.difference(self.refused_snapshots)
         self._note_load(now, report.busy + report.queue)
 
     def on_load(self, now: float, incarnation: str, requests: int) -> None:
@@ -230,11 +232,11 @@
         if incarnation == self.incarnation:
             self._note_load(now, requests)
         else:
-            self.on_report(now, Report(incarnation, frozenset(), requests))
+            self.on_report(now, StatusReport(incarnation, frozenset(), requests))
 
     def _note_load(self, now: float, requests: int) -> None:
         claimed = max(0, requests - self.in_flight)
-        self.foreign = min(float(claimed), FOREIGN_LOAD_CAP * self.target.slots)
+        self.foreign_load = min(float(claimed), FOREIGN_LOAD_CAP * self.target.slots)
         self.reported_at = now
 
 
@@ -252,7 +254,7 @@
     return Replica(target, limit, is_leaving=target.is_leaving)
 
 
-Choice: TypeAlias = "Callable[[Sequence[Replica], float, random.Random], Replica]"
+ChooseReplica: TypeAlias = "Callable[[Sequence[Replica], float, random.Random], Replica]"
 """A rule that picks among replicas with room: (candidates, now, random source)."""
 
 
@@ -322,7 +324,7 @@
     replicas: Sequence[Replica],
     snapshot: catalog.Snapshot | None,
     now: float,
-    patience: float | None,
+    stall_timeout: float | None,
 ) -> list[Replica]:
     """List the replicas that may get an attempt, never ejecting the last one.
 
@@ -337,14 +339,14 @@
         Replicas that hold the snapshot, are not leaving and are not resting; stalled ones are
         left out unless all are stalled.
     """
-    able = [
+    eligible = [
         replica
         for replica in replicas
         if not replica.is_leaving
-        and replica.rest_until <= now
+        and replica.backoff_until <= now
         and (snapshot is None or snapshot in replica.holds)
     ]
-    if patience is None or len(able) == 1:
-        return able
-    lively = [replica for replica in able if not replica.is_stalled(now, patience)]
-    return lively or able
+    if stall_timeout is None or len(eligible) == 1:
+        return eligible
+    responsive = [replica for replica in eligible if not replica.is_stalled(now, stall_timeout)]
+    return responsive or eligible
--- a/src/lineworks/decisions/suspects.py
+++ b/src/lineworks/decisions/suspects.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-ENDS_KNOWN = 3
+MIN_PROVEN_ENDS = 3
 """Proven ends from which on a request may be refused: fewer can be chance, and as many are borne
 before the platform's bound on such requests counts."""
 
@@ -40,11 +40,11 @@
 """Seconds for which an answer clears what was asked: reports that are still on their way, or held
 up by a cut or an outage, must not accuse it. Later its targets or their data may be others."""
 
-MOST_ANSWERED = 2048
+MAX_ANSWERED = 2048
 """Fingerprints remembered at most of what was answered, some 0.4 MB. What many callers ask stays
 among them."""
 
-APART_SECONDS = 0.5
+MIN_RESTART_SECONDS = 0.5
 """Seconds between two ends of a target under the same identity: no process is back sooner, and what
 ended with it is noticed within a round trip."""
 
@@ -53,10 +53,10 @@
 with nobody behind it. Shorter than the time after which the platform's bound counts, so that a
 target that is back sooner costs no try beyond it."""
 
-MOST_RECORDS = 256
+MAX_RECORDS = 256
 """Requests remembered at most: some 100 KB. Requests that are fatal come from few callers."""
 
-MOST_ENDS = 8
+MAX_ENDS = 8
 """Ends of one request remembered at most; proven ones and those of trials go first."""
 
 
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
+class TargetEnd:
     """The end of a target while it ran a request."""
 
     target: str
@@ -103,7 +103,7 @@
     epoch: int
     """Number of times that it was cleared or lifted: later knowledge has a higher one."""
 
-    ends: tuple[End, ...] = ()
+    ends: tuple[TargetEnd, ...] = ()
     """Ends of targets under it."""
 
     cleared_at: float | None = None
@@ -112,12 +112,12 @@
     @property
     def trials(self) -> int:
         """Proven ends of trials."""
-        return _count(end for end in self.ends if end.is_trial and end.is_proven)
+        return _count_distinct(end for end in self.ends if end.is_trial and end.is_proven)
 
     @property
     def proven(self) -> int:
         """Proven ends."""
-        return _count(end for end in self.ends if end.is_proven)
+        return _count_distinct(end for end in self.ends if end.is_proven)
 
     @property
     def last_at(self) -> float:
@@ -127,7 +127,7 @@
     @property
     def refused_until(self) -> float:
         """Until when it is refused, in seconds; minus infinity where it isn't."""
-        if self.proven < ENDS_KNOWN or not self.trials:
+        if self.proven < MIN_PROVEN_ENDS or not self.trials:
             return float("-inf")
         times = min(self.trials, len(REFUSE_SECONDS))
         return self.last_at + REFUSE_SECONDS[times - 1]
@@ -159,7 +159,7 @@
         return now >= max(self.refused_until, self.last_at) + SUSPECT_SECONDS
 
     @property
-    def danger(self) -> tuple[bool, int, float]:
+    def retention_rank(self) -> tuple[bool, int, float]:
         """What a full memory keeps it by: refused ones first, then by ends, then the latest."""
         return bool(self.trials), len(self.ends), self.last_at
 
@@ -232,7 +232,7 @@
         known = self._records.get(content)
         epoch = known.epoch if known is not None else 0
         ends = tuple(
-            End(target, attempt, now, is_trial)
+            TargetEnd(target, attempt, now, is_trial)
             for target in targets
             if not self.is_down(target, attempt, now)
         )
@@ -274,7 +274,7 @@
         """
         self._answered[content] = now
         self._answered.move_to_end(content)
-        if len(self._answered) > MOST_ANSWERED:
+        if len(self._answered) > MAX_ANSWERED:
             self._answered.popitem(last=False)
         return self._clear(content, now)
 
@@ -289,7 +289,7 @@
         at = self._answered.get(content)
         return at is not None and now < at + CLEARED_SECONDS
 
-    def contradict(self, content: str, now: float) -> Record | None:
+    def clear_if_answered(self, content: str, now: float) -> Record | None:
         """Clear what another instance suspects and a target answered here lately.
 
         Args:
@@ -331,17 +331,17 @@
         if known is not None and known.is_over(now):
             known = None
         if known is None or found.epoch > known.epoch:
-            merged = dataclasses.replace(found, ends=_union((), found.ends))
+            merged = dataclasses.replace(found, ends=_merge_ends((), found.ends))
         elif found.epoch < known.epoch or known.cleared_at is not None:
             return None
         else:
             cleared_at = found.cleared_at
-            ends = () if cleared_at is not None else _union(known.ends, found.ends)
+            ends = () if cleared_at is not None else _merge_ends(known.ends, found.ends)
             merged = dataclasses.replace(known, ends=ends, cleared_at=cleared_at)
         if merged == known or merged.is_over(now):
             return None
         self._records[found.content] = merged
-        self._bound()
+        self._evict()
         return merged
 
     def expire(self, now: float) -> list[Record]:
@@ -366,25 +366,25 @@
                 self._records[content] = dataclasses.replace(record, ends=ends)
         return gone
 
-    def _bound(self) -> None:
-        while len(self._records) > MOST_RECORDS:
-            least = min(self._records.values(), key=lambda record: record.danger)
+    def _evict(self) -> None:
+        while len(self._records) > MAX_RECORDS:
+            least = min(self._records.values(), key=lambda record: record.retention_rank)
             del self._records[least.content]
             self.forgotten += 1
 
 
-def _count(ends: Iterable[End]) -> int:
+def _count_distinct(ends: Iterable[TargetEnd]) -> int:
     """Count ends; those of one target that several tries saw at one moment count once."""
     count = 0
     last: dict[str, float] = {}
     for end in sorted(ends, key=lambda end: end.at):
-        if end.at - last.get(end.target, float("-inf")) > APART_SECONDS:
+        if end.at - last.get(end.target, float("-inf")) > MIN_RESTART_SECONDS:
             count += 1
         last[end.target] = end.at
     return count
 
 
-def _union(known: Iterable[End], found: Iterable[End]) -> tuple[End, ...]:
+def _merge_ends(known: Iterable[TargetEnd], found: Iterable[TargetEnd]) -> tuple[TargetEnd, ...]:
     """Put ends together: each target once a try, the earliest report, proven if any says so."""
     ends = {(end.target, end.attempt): end for end in known}
     for end in found:
@@ -395,4 +395,4 @@
         elif end.is_proven and not other.is_proven:
             ends[key] = dataclasses.replace(other, is_proven=True)
     kept = sorted(ends.values(), key=lambda end: (not end.is_trial, not end.is_proven, -end.at))
-    return tuple(sorted(kept[:MOST_ENDS], key=lambda end: (end.at, end.target, end.attempt)))
+    return tuple(sorted(kept[:MAX_ENDS], key=lambda end: (end.at, end.target, end.attempt)))
--- a/src/lineworks/decisions/target_evidence.py
+++ b/src/lineworks/decisions/target_evidence.py
@@ -23,21 +23,21 @@
 
 _Value = TypeVar("_Value")
 
-APART_SECONDS = 0.3
+MIN_SLOW_SECONDS = 0.3
 """Seconds that must lie between the reports on a target that is called slow: more than the pauses
 that targets make, which are over by then."""
 
-CONFIRM_SECONDS = 2.0
+CONFIRM_WINDOW_SECONDS = 2.0
 """Seconds within which they must come: two pauses of a sound target lie further apart."""
 
 MIN_ORIGINS = 2
 """Instances that must say so, this one included."""
 
-MEMORY_SECONDS = 6.0
+BELIEF_SECONDS = 6.0
 """Seconds after which a target is not believed to be slow any more unless it is called so again:
 three half-lives of what is known of a target."""
 
-MOST_FACTOR = 10.0
+MAX_FACTOR = 10.0
 """Multiple of the usual time that a report can claim."""
 
 SLOW_FACTOR = 3.0
@@ -47,10 +47,10 @@
 FAST_FACTOR = 1.5
 """Multiple of the usual time up to which an answer shows that a target is well."""
 
-MOST_SHARE = 0.5
+MAX_SLOW_SHARE = 0.5
 """Part of all targets that an instance may call slow before it is not heeded."""
 
-FEW_TARGETS = 8
+MIN_SLOW_LIMIT = 8
 """Targets that it may call slow in any case."""
 
 
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sighting:
+class Observation:
     """What an instance saw of one target."""
 
     target: str
@@ -111,7 +111,7 @@
         self._reports: dict[str, dict[str, _Report]] = {}
         self._beliefs: dict[str, Slowness] = {}
         # By origin the targets that it called slow, with the time of the last report.
-        self._called: dict[str, dict[str, float]] = {}
+        self._slow_by_origin: dict[str, dict[str, float]] = {}
         self.targets = 0
         """Targets known, of which an instance may call a part slow."""
 
@@ -120,7 +120,7 @@
         """Whether anything is believed of any target."""
         return bool(self._beliefs)
 
-    def note(self, sighting: Sighting, origin: str, at: float) -> bool:
+    def note(self, observation: Observation, origin: str, at: float) -> bool:
         """Take in what an instance saw of a target.
 
         Args:
@@ -131,31 +131,31 @@
         Returns:
             Whether something is believed anew of the target, or not any more.
         """
-        target = sighting.target
-        if sighting.kind is Kind.SLOW:
-            if not self._is_heeded(target, origin, at):
+        target = observation.target
+        if observation.kind is Kind.SLOW:
+            if not self._is_credible(target, origin, at):
                 return False
-            return self._note_slow(target, origin, min(MOST_FACTOR, sighting.factor), at)
+            return self._note_slow(target, origin, min(MAX_FACTOR, observation.factor), at)
         self._reports.pop(target, None)
         was_slow = target in self._beliefs
-        self.believe(sighting, at)
-        return was_slow or sighting.kind is Kind.GONE
+        self.believe(observation, at)
+        return was_slow or observation.kind is Kind.GONE
 
-    def believe(self, sighting: Sighting, at: float) -> None:
+    def believe(self, observation: Observation, at: float) -> None:
         """Take over what is believed of a target, by several reports.
 
         Args:
             sighting: How it does.
             at: When this was told, in seconds.
         """
-        if sighting.kind is Kind.WELL:
-            self._beliefs.pop(sighting.target, None)
+        if observation.kind is Kind.WELL:
+            self._beliefs.pop(observation.target, None)
             return
-        is_slow = sighting.kind is Kind.SLOW
-        factor = min(MOST_FACTOR, sighting.factor) if is_slow else MOST_FACTOR
-        self._beliefs[sighting.target] = Slowness(factor, at)
+        is_slow = observation.kind is Kind.SLOW
+        factor = min(MAX_FACTOR, observation.factor) if is_slow else MAX_FACTOR
+        self._beliefs[observation.target] = Slowness(factor, at)
 
-    def is_called_slow(self, target: str) -> bool:
+    def has_slow_reports(self, target: str) -> bool:
         """Say whether a target is believed to be slow, or is called so by an instance.
 
         Args:
@@ -177,7 +177,7 @@
             The belief, or None when there is not enough evidence.
         """
         belief = self._beliefs.get(target)
-        if belief is None or now - belief.at > MEMORY_SECONDS:
+        if belief is None or now - belief.at > BELIEF_SECONDS:
             return None
         return belief
 
@@ -188,14 +188,16 @@
             present: Identities of those that are.
         """
         self.targets = len(present)
-        self._reports = _only(self._reports, present)
-        self._beliefs = _only(self._beliefs, present)
-        self._called = {origin: _only(one, present) for origin, one in self._called.items()}
+        self._reports = _only_present(self._reports, present)
+        self._beliefs = _only_present(self._beliefs, present)
+        self._slow_by_origin = {
+            origin: _only_present(one, present) for origin, one in self._slow_by_origin.items()
+        }
 
     def _note_slow(self, target: str, origin: str, factor: float, at: float) -> bool:
         reports = self._reports.setdefault(target, {})
         known = reports.get(origin)
-        if known is None or at - known.last > CONFIRM_SECONDS:
+        if known is None or at - known.last > CONFIRM_WINDOW_SECONDS:
             reports[origin] = _Report(factor, at, at)
         else:
             known.factor, known.last = factor, max(known.last, at)
@@ -208,21 +210,21 @@
 
     def _is_confirmed(self, reports: dict[str, _Report], now: float) -> bool:
         """Say whether enough instances call a target slow, for longer than a pause."""
-        late = [origin for origin in reports if now - reports[origin].last > CONFIRM_SECONDS]
+        late = [origin for origin in reports if now - reports[origin].last > CONFIRM_WINDOW_SECONDS]
         for origin in late:
             del reports[origin]
         first = min(report.first for report in reports.values())
-        return len(reports) >= MIN_ORIGINS and now - first >= APART_SECONDS
+        return len(reports) >= MIN_ORIGINS and now - first >= MIN_SLOW_SECONDS
 
-    def _is_heeded(self, target: str, origin: str, at: float) -> bool:
+    def _is_credible(self, target: str, origin: str, at: float) -> bool:
         """Note whom an instance calls slow, and say whether these are not too many."""
-        called = self._called.setdefault(origin, {})
+        called = self._slow_by_origin.setdefault(origin, {})
         called[target] = at
-        most = max(FEW_TARGETS, MOST_SHARE * self.targets)
+        most = max(MIN_SLOW_LIMIT, MAX_SLOW_SHARE * self.targets)
         if len(called) <= most:
             return True
-        recent = {one: last for one, last in called.items() if at - last <= MEMORY_SECONDS}
-        self._called[origin] = recent
+        recent = {one: last for one, last in called.items() if at - last <= BELIEF_SECONDS}
+        self._slow_by_origin[origin] = recent
         if len(recent) <= most:
             return True
         for reports in self._reports.values():
@@ -230,5 +232,5 @@
         return False
 
 
-def _only(known: Mapping[str, _Value], present: Collection[str]) -> dict[str, _Value]:
+def _only_present(known: Mapping[str, _Value], present: Collection[str]) -> dict[str, _Value]:
     return {target: value for target, value in known.items() if target in present}
--- a/src/lineworks/decisions/target_view.py
+++ b/src/lineworks/decisions/target_view.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-LAPSE_GRACE = 2.3
+REMOVAL_GRACE_SECONDS = 2.3
 """Seconds after the platform's return in which a missing entry proves nothing: targets that live
 renew theirs within about two seconds, and a call takes some time."""
 
@@ -61,7 +61,7 @@
     told apart. 0 where it isn't told."""
 
     @property
-    def life(self) -> str:
+    def process_key(self) -> str:
         """Identity of this process among all that had or will have its identity."""
         return f"{self.id}@{self.born}" if self.born else self.id
 
@@ -80,7 +80,7 @@
     """The entry, or None when it is gone."""
 
 
-class Standing(enum.Enum):
+class UnsettledReason(enum.Enum):
     """Why an entry is not settled."""
 
     HELD = "held"
@@ -100,7 +100,7 @@
     change: TargetChange
     """The entry, with the position that it was read under."""
 
-    standing: Standing
+    reason: UnsettledReason
     """Why it is not settled."""
 
     seconds: float = 0.0
@@ -115,7 +115,9 @@
     until: float
 
 
-def news(known: Mapping[str, TargetEntry], changes: Iterable[TargetChange]) -> list[TargetChange]:
+def effective_changes(
+    known: Mapping[str, TargetEntry], changes: Iterable[TargetChange]
+) -> list[TargetChange]:
     """Leave out changes that bring nothing new after what was known and the changes before them.
 
     Args:
@@ -155,7 +157,7 @@
         """The entries by identity."""
         return self._entries
 
-    def certain(self) -> dict[str, TargetEntry]:
+    def confirmed_entries(self) -> dict[str, TargetEntry]:
         """List the entries that no removal is pending for.
 
         Returns:
@@ -257,7 +259,7 @@
             self._entries.pop(name, None)
         return bool(due)
 
-    def believe(self, now: float) -> bool:
+    def accept_doubted(self, now: float) -> bool:
         """Take in the doubted entries that are still there when dead targets' entries have gone.
 
         Args:
@@ -291,17 +293,17 @@
             The entries.
         """
         held = [
-            Unsettled(self._as_change(name), Standing.HELD, until - now)
+            Unsettled(self._as_change(name), UnsettledReason.HELD, until - now)
             for name, until in self._removals.items()
             if name in self._entries
         ]
         doubted = [
-            Unsettled(found.change, Standing.DOUBTED, found.until - now)
+            Unsettled(found.change, UnsettledReason.DOUBTED, found.until - now)
             for found in self._doubted.values()
         ]
         return held + doubted
 
-    def contradict(self, listed: Iterable[TargetChange], now: float) -> list[Unsettled]:
+    def corrections(self, listed: Iterable[TargetChange], now: float) -> list[Unsettled]:
         """Find what is known better than a peer that lists entries: it may have just started.
 
         Args:
@@ -315,15 +317,15 @@
         doubted = [
             one
             for one in self.unsettled(now)
-            if one.standing is Standing.DOUBTED and one.change.id in used
+            if one.reason is UnsettledReason.DOUBTED and one.change.id in used
         ]
         leaving = [
-            Unsettled(self._as_change(name), Standing.LEAVING)
+            Unsettled(self._as_change(name), UnsettledReason.LEAVING)
             for name in self._leaving & used & self._entries.keys()
         ]
         return doubted + leaving
 
-    def take_unsettled(self, found: Iterable[Unsettled], now: float) -> bool:
+    def apply_unsettled(self, found: Iterable[Unsettled], now: float) -> bool:
         """Hold up, doubt and leave alone what a peer does, unless more is known here.
 
         Args:
@@ -336,16 +338,16 @@
         is_changed = False
         for one in found:
             if self._positions.get(one.change.id, positions.ABSENT) <= one.change.position:
-                is_changed |= self._take_standing(one, now)
+                is_changed |= self._apply_unsettled_entry(one, now)
         return is_changed
 
-    def _take_standing(self, one: Unsettled, now: float) -> bool:
+    def _apply_unsettled_entry(self, one: Unsettled, now: float) -> bool:
         change = one.change
         if change.entry is None:
             return False
-        if one.standing is Standing.LEAVING:
+        if one.reason is UnsettledReason.LEAVING:
             return self._put(dataclasses.replace(change.entry, is_leaving=True))
-        if one.standing is Standing.HELD:
+        if one.reason is UnsettledReason.HELD:
             if change.id in self._positions:
                 # Known here, and held or gone by what is known here.
                 return False
--- a/src/lineworks/engine/dispatcher.py
+++ b/src/lineworks/engine/dispatcher.py
@@ -329,14 +329,14 @@
         state = self._state_of(query)
         elapsed = self._clock.seconds() - frame.sent_at
         fill = state.hedges.tokens / queries.HEDGE_BURST
-        progress = hedging.Progress(elapsed, query.outstanding, len(query.shards), fill)
+        progress = hedging.QueryProgress(elapsed, query.outstanding, len(query.shards), fill)
         latencies = state.path_latencies(frame.hall)
         advice = self._tuning.hedge(progress, latencies, state.hedge_budget)
         if advice.should_hedge:
             for position in waiting:
                 self._hedge(query, position, state)
         if advice.check_in is not None:
-            delay = max(advice.check_in, hedging.LEAST_CHECK)
+            delay = max(advice.check_in, hedging.MIN_CHECK_SECONDS)
             query.timers.append(self._clock.callLater(delay, self._check_hedge, query, frame))
 
     def _hedge(self, query: queries.Query, position: int, state: queries.GroupState) -> None:
--- a/src/lineworks/engine/front_state.py
+++ b/src/lineworks/engine/front_state.py
@@ -11,7 +11,7 @@
 class Tuning:
     """Choices of a front that the bench varies."""
 
-    hedge: hedging.Rule = dataclasses.field(default_factory=hedging.make_progress_rule)
+    hedge: hedging.HedgeRule = dataclasses.field(default_factory=hedging.make_progress_rule)
     """When sub-queries are hedged in another hall."""
 
     is_admitting: bool = True
--- a/src/lineworks/engine/gatherer.py
+++ b/src/lineworks/engine/gatherer.py
@@ -94,7 +94,7 @@
             held[service] = frozenset().union(*able)
         return held
 
-    def on_report(self, target: str, report: replicas.Report) -> None:
+    def on_report(self, target: str, report: replicas.StatusReport) -> None:
         """Take in what a target said of itself.
 
         Args:
@@ -189,7 +189,7 @@
             if check_in is not None and (next_check is None or check_in < next_check):
                 next_check = check_in
         if next_check is not None:
-            delay = max(next_check, hedging.LEAST_CHECK)
+            delay = max(next_check, hedging.MIN_CHECK_SECONDS)
             frame.hedge_timer = self._clock.callLater(delay, self._check_hedges, key)
 
     def _check_hedge(self, sub: state.SubQuery, frame: state.Frame) -> float | None:
@@ -197,7 +197,7 @@
         group = self._group(sub.request.group)
         elapsed = self._elapsed(sub)
         fill = group.hedges.tokens / state.HEDGE_BURST
-        progress = hedging.Progress(elapsed, frame.open, len(frame.subs), fill)
+        progress = hedging.QueryProgress(elapsed, frame.open, len(frame.subs), fill)
         advice = self._tuning.hedge(progress, group.latencies, group.hedge_budget)
         if advice.should_hedge and sub.running:
             self._hedge(sub, group)
@@ -312,7 +312,7 @@
             replica.limit.on_refused()
         elif reason is verdict.Reason.OVERLOADED:
             replica.limit.on_refused()
-            replica.rest_until = now + state.SHED_REST
+            replica.backoff_until = now + state.SHED_REST
         elif reason is verdict.Reason.LEAVING:
             self.on_leaving(replica.target.name)
         if state.is_wrong_snapshot(sub, outcome):
@@ -407,7 +407,7 @@
             self.counters.cancelled += 1
             running.replica.on_ended(now, is_progress=False)
             if slow and now - running.started > slow:
-                running.replica.on_lost_race(now)
+                running.replica.on_attempt_abandoned(now)
         sub.running.clear()
         if pool.waiting:
             self._clock.callLater(0, self._drain, pool)
--- a/src/lineworks/engine/ports.py
+++ b/src/lineworks/engine/ports.py
@@ -65,7 +65,7 @@
     body: bytes = b""
     """The reply."""
 
-    report: replicas.Report | None = None
+    report: replicas.StatusReport | None = None
     """What the target said of itself along with it."""
 
 
--- a/src/lineworks/engine/query.py
+++ b/src/lineworks/engine/query.py
@@ -182,10 +182,10 @@
             limit, policy.target_latency, on_expired
         )
         self.hedge_budget = hedge_budget
-        self.hedges = estimators.Budget(HEDGE_BURST, HEDGE_START)
-        self.retries = estimators.Budget(RETRY_BURST)
+        self.hedges = estimators.TokenBudget(HEDGE_BURST, HEDGE_START)
+        self.retries = estimators.TokenBudget(RETRY_BURST)
         self.retry_budget = policy.retry_budget
-        self.service_time = estimators.Average(0.02)
+        self.service_time = estimators.MovingAverage(0.02)
         self._latencies: dict[str, estimators.Quantiles] = {}
 
     def path_latencies(self, hall: str) -> estimators.Quantiles:
--- a/src/lineworks/engine/sub_query.py
+++ b/src/lineworks/engine/sub_query.py
@@ -42,7 +42,7 @@
 class Tuning:
     """Choices of a gatherer that the bench varies."""
 
-    choose: replicas.Choice = replicas.choose_least_loaded
+    choose: replicas.ChooseReplica = replicas.choose_least_loaded
     """Rule that picks among replicas with room."""
 
     is_bounded: bool = True
@@ -51,7 +51,7 @@
     ejects_stalled: bool = True
     """Whether replicas without progress are passed over."""
 
-    hedge: hedging.Rule = dataclasses.field(default_factory=hedging.make_progress_rule)
+    hedge: hedging.HedgeRule = dataclasses.field(default_factory=hedging.make_progress_rule)
     """When a sub-query is hedged at another replica of the hall."""
 
 
@@ -167,8 +167,8 @@
     def __init__(self) -> None:
         self.replicas: list[replicas.Replica] = []
         self.waiting: collections.deque[SubQuery] = collections.deque()
-        self.service_time = estimators.Average(0.05)
-        self.retries = estimators.Budget(RETRY_BURST)
+        self.service_time = estimators.MovingAverage(0.05)
+        self.retries = estimators.TokenBudget(RETRY_BURST)
 
     @property
     def patience(self) -> float:
@@ -181,7 +181,7 @@
 
     def __init__(self) -> None:
         self.latencies = estimators.Quantiles()
-        self.hedges = estimators.Budget(HEDGE_BURST, HEDGE_START)
+        self.hedges = estimators.TokenBudget(HEDGE_BURST, HEDGE_START)
         self.hedge_budget = 0.0
 
 
--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -173,7 +173,7 @@
         """Note that the store came back from an older copy: others have yet to write again."""
         now = self._reactor.seconds()
         self._unsure_since = now
-        self._hold_until = max(self._hold_until, now + target_view.LAPSE_GRACE)
+        self._hold_until = max(self._hold_until, now + target_view.REMOVAL_GRACE_SECONDS)
         self._doubt_until = now + target_view.DOUBT_SECONDS
 
     def on_peer_version(self, peer: str, version: int) -> None:
@@ -228,7 +228,7 @@
         """Let go of what is missing, and believe what is there again, when its time has come."""
         now = self._reactor.seconds()
         is_changed = self._view.expire(now)
-        is_changed |= self._view.believe(now)
+        is_changed |= self._view.accept_doubted(now)
         is_changed |= self._evacuations.expire(now, self._fresh_at, self._view.position)
         if is_changed:
             self.on_targets()
@@ -309,7 +309,7 @@
             )
             return
         # An entry that came back while its removal was held up is news to the peers as well.
-        known = self._view.certain()
+        known = self._view.confirmed_entries()
         entries = self._decode(found.changes)
         asked = _asked(found.changes)
         is_changed = self._evacuations.apply(asked)
@@ -319,8 +319,10 @@
         self._take_others(found.changes)
         if is_changed:
             self.on_targets()
-        news = target_view.news(known, entries)
-        self._send_update(hall_peers.names(self._links, self._hall), before, news, asked)
+        effective_changes = target_view.effective_changes(known, entries)
+        self._send_update(
+            hall_peers.names(self._links, self._hall), before, effective_changes, asked
+        )
 
     def _decode(self, rows: Iterable[store_items.Change]) -> list[target_view.TargetChange]:
         changes = []
@@ -380,11 +382,11 @@
         self,
         names: Iterable[str],
         after: positions.Position,
-        news: list[target_view.TargetChange],
+        effective_changes: list[target_view.TargetChange],
         asked: tuple[evacuations.EvacuationChange, ...] = (),
         unsettled: Sequence[target_view.Unsettled] = (),
     ) -> None:
-        document = target_documents.encode(news)
+        document = target_documents.encode(effective_changes)
         rest = target_documents.encode_unsettled(unsettled)
         age = max(0.0, self.age)
         update = node_frames.TargetUpdate(after, self._view.position, age, document, asked, rest)
@@ -410,7 +412,7 @@
         else:
             is_changed = self._evacuations.apply(frame.evacuations)
             is_changed |= self._view.apply(changes, self._hold())
-        is_changed |= self._view.take_unsettled(unsettled, self._reactor.seconds())
+        is_changed |= self._view.apply_unsettled(unsettled, self._reactor.seconds())
         self._view.position = max(self._view.position, frame.position)
         self._has_targets = True
         self._fresh_at = max(self._fresh_at, self._reactor.seconds() - frame.age)
@@ -424,12 +426,12 @@
         return {
             one.change.id: now + one.seconds
             for one in unsettled
-            if one.standing is target_view.Standing.HELD
+            if one.reason is target_view.UnsettledReason.HELD
         }
 
     def _contradict(self, peer: str, listed: Iterable[target_view.TargetChange]) -> None:
         """Tell a peer what had gone or was leaving of what it lists: it may have just started."""
-        known_better = self._view.contradict(listed, self._reactor.seconds())
+        known_better = self._view.corrections(listed, self._reactor.seconds())
         if known_better:
             self._send_update([peer], self._view.position, [], unsettled=known_better)
 
@@ -457,7 +459,7 @@
         """Tell until when missing entries prove nothing; 0 outside an outage."""
         now = self._reactor.seconds()
         if self._outage_since is not None:
-            return float(now + target_view.LAPSE_GRACE)
+            return float(now + target_view.REMOVAL_GRACE_SECONDS)
         return self._hold_until if now < self._hold_until else 0.0
 
     def _on_failure(self, error: str, is_busy: bool) -> None:
@@ -487,7 +489,7 @@
         now = self._reactor.seconds()
         _log.info("store_regained", seconds=round(now - self._outage_since, 3))
         self._outage_since = None
-        self._hold_until = now + target_view.LAPSE_GRACE
+        self._hold_until = now + target_view.REMOVAL_GRACE_SECONDS
 
 
 def _asked(rows: Iterable[store_items.Change]) -> tuple[evacuations.EvacuationChange, ...]:
@@ -496,6 +498,6 @@
     for row in rows:
         hall = evacuation_keys.hall_of(row.key)
         if hall is not None:
-            is_asked = row.value is not None
-            found.append(evacuations.EvacuationChange(hall, row.position, is_asked))
+            is_evacuated = row.value is not None
+            found.append(evacuations.EvacuationChange(hall, row.position, is_evacuated))
     return tuple(found)
--- a/src/lineworks/forwarding/evidence_exchange.py
+++ b/src/lineworks/forwarding/evidence_exchange.py
@@ -38,7 +38,7 @@
     """Sightings that wait to be told; the same is told once in a while."""
 
     def __init__(self) -> None:
-        self._news: dict[str, target_evidence.Sighting] = {}
+        self._news: dict[str, target_evidence.Observation] = {}
         self._told: dict[str, tuple[target_evidence.Kind, float]] = {}
 
     @property
@@ -46,16 +46,16 @@
         """Whether nothing waits."""
         return not self._news
 
-    def add(self, sighting: target_evidence.Sighting, now: float) -> bool:
+    def add(self, observation: target_evidence.Observation, now: float) -> bool:
         """Take in a sighting; say whether it will be told."""
-        kind, at = self._told.get(sighting.target, (None, 0.0))
-        if kind is sighting.kind and now - at < RETELL_SECONDS:
+        kind, at = self._told.get(observation.target, (None, 0.0))
+        if kind is observation.kind and now - at < RETELL_SECONDS:
             return False
-        self._told[sighting.target] = (sighting.kind, now)
-        self._news[sighting.target] = sighting
+        self._told[observation.target] = (observation.kind, now)
+        self._news[observation.target] = observation
         return True
 
-    def take(self, now: float) -> tuple[target_evidence.Sighting, ...]:
+    def take(self, now: float) -> tuple[target_evidence.Observation, ...]:
         """Take out all that waits, and forget what was told long ago."""
         news, self._news = tuple(self._news.values()), {}
         oldest = now - RETELL_SECONDS
@@ -101,10 +101,10 @@
         sightings.on_sighting = self._on_sighting
         links.handle(node_frames.TargetReports, self._on_reports)
 
-    def _on_sighting(self, sighting: target_evidence.Sighting) -> None:
+    def _on_sighting(self, observation: target_evidence.Observation) -> None:
         """Note what this instance saw of a target, to tell it soon."""
         was_empty = self._reports.is_empty
-        if self._reports.add(sighting, self._reactor.seconds()) and was_empty:
+        if self._reports.add(observation, self._reactor.seconds()) and was_empty:
             self._reactor.callLater(TELL_SECONDS, self._report)
 
     def _report(self) -> None:
@@ -123,24 +123,26 @@
             self._weigh(frame.sightings, link.hello.name, now)
             return
         self.counts["beliefs_taken_over"] += len(frame.sightings)
-        for sighting in frame.sightings:
-            self._evidence.believe(sighting, now)
+        for observation in frame.sightings:
+            self._evidence.believe(observation, now)
 
     def _weigh(
-        self, sightings: Iterable[target_evidence.Sighting], origin: str, now: float
+        self, sightings: Iterable[target_evidence.Observation], origin: str, now: float
     ) -> None:
         """Take in reports as keeper, and tell the hall soon what they change."""
-        for sighting in sightings:
+        for observation in sightings:
             self.counts["weighed"] += 1
-            if self._evidence.note(sighting, origin, now):
-                self._tell_soon(sighting, now)
+            if self._evidence.note(observation, origin, now):
+                self._tell_soon(observation, now)
 
-    def _tell_soon(self, sighting: target_evidence.Sighting, now: float) -> None:
+    def _tell_soon(self, observation: target_evidence.Observation, now: float) -> None:
         was_empty = self._beliefs.is_empty
-        believed = self._evidence.slowness(sighting.target, now)
-        if sighting.kind is target_evidence.Kind.SLOW and believed is not None:
-            sighting = target_evidence.Sighting(sighting.target, sighting.kind, believed.factor)
-        if self._beliefs.add(sighting, now) and was_empty:
+        believed = self._evidence.slowness(observation.target, now)
+        if observation.kind is target_evidence.Kind.SLOW and believed is not None:
+            observation = target_evidence.Observation(
+                observation.target, observation.kind, believed.factor
+            )
+        if self._beliefs.add(observation, now) and was_empty:
             self._reactor.callLater(TELL_SECONDS, self._tell_hall)
 
     def _tell_hall(self) -> None:
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -81,7 +81,7 @@
         """Tells when the process ends whatever is under way, in seconds."""
         self.is_over: Callable[[], bool] = lambda: False
         """Says whether the process itself closes its connections now."""
-        self._refused = estimators.Average(REFUSAL_WEIGHT)
+        self._refused = estimators.MovingAverage(REFUSAL_WEIGHT)
 
     @property
     def is_idle(self) -> bool:
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -417,7 +417,7 @@
         self._directory.on_peer_version(link.hello.name, frame.config_version)
         now = self._reactor.seconds()
         self._extra.instances.note_told(frame.instances, now)
-        self._book.cold.note_count(self._extra.instances.value(now))
+        self._book.cold.note_instance_count(self._extra.instances.value(now))
 
     @property
     def _seen_instances(self) -> int:
@@ -428,9 +428,9 @@
     def _count_instances(self) -> None:
         now = self._reactor.seconds()
         self._extra.instances.note(self._seen_instances, now)
-        self._book.cold.note_count(self._extra.instances.value(now))
+        self._book.cold.note_instance_count(self._extra.instances.value(now))
         names = {self._settings.name, *self._links.up, *self._registration.names}
-        self._book.cold.note_names(names, now)
+        self._book.cold.note_instances(names, now)
 
     def _counts(self) -> dict[str, dict[str, float]]:
         now = self._reactor.seconds()
--- a/src/lineworks/forwarding/search_attempts.py
+++ b/src/lineworks/forwarding/search_attempts.py
@@ -337,8 +337,8 @@
         self._close_query_if_over(attempt.query)
         if failure is node_frames.Failure.NOT_SENT:
             self._note_unsent(shard)
-            attempt.state.replica.rest_until = max(
-                attempt.state.replica.rest_until, now + NO_ROOM_REST
+            attempt.state.replica.backoff_until = max(
+                attempt.state.replica.backoff_until, now + NO_ROOM_REST
             )
         self._shared.book.note_failure(attempt.state, now)
         attempt.end = search_state.remote_verdict(failure)
--- a/src/lineworks/forwarding/suspect_documents.py
+++ b/src/lineworks/forwarding/suspect_documents.py
@@ -50,7 +50,7 @@
         found = json.loads(data)
         epoch, is_cleared = int(found["epoch"]), bool(found["cleared"])
         ends = tuple(
-            suspects.End(str(target), str(attempt), now, bool(is_trial), bool(is_proven))
+            suspects.TargetEnd(str(target), str(attempt), now, bool(is_trial), bool(is_proven))
             for target, attempt, is_trial, is_proven in found["ends"]
         )
     except (ValueError, TypeError, KeyError, OverflowError, RecursionError) as error:
--- a/src/lineworks/forwarding/suspect_exchange.py
+++ b/src/lineworks/forwarding/suspect_exchange.py
@@ -279,7 +279,7 @@
                 continue
             record = self._suspects.merge(found, now)
             if record is not None:
-                record = self._suspects.contradict(content, now) or record
+                record = self._suspects.clear_if_answered(content, now) or record
                 self._note_shared(record, "the store")
                 news.append(record)
         if news:
@@ -310,7 +310,7 @@
             if record.cleared_at is not None and self._told.pop(record.content, None) is not None:
                 # Reported by this instance, and cleared by another one.
                 self._broadcast((record,))
-            cleared = self._suspects.contradict(found.content, now)
+            cleared = self._suspects.clear_if_answered(found.content, now)
             if cleared is not None:
                 # Only whoever reported it is told, and tells the others: else all that know better
                 # would tell all.
@@ -458,7 +458,7 @@
         }
 
 
-def _describe(end: suspects.End, now: float) -> str:
+def _describe(end: suspects.TargetEnd, now: float) -> str:
     """Tell people of one end."""
     kind = " in a trial" if end.is_trial else ""
     proof = "ended" if end.is_proven else "broke off"
--- a/src/lineworks/forwarding/target_book.py
+++ b/src/lineworks/forwarding/target_book.py
@@ -100,14 +100,14 @@
         """What this instance may send to cold targets."""
         self._knows_load = mechanisms.Mechanism.LOAD_REPORTS not in without
         self._avoids_slow = mechanisms.Mechanism.SLOW_AVOIDANCE not in without
-        self.ways = hall_ways.HallWays(hall, regions)
+        self.ways = hall_ways.HallRoundTrips(hall, regions)
         """The ways to the targets' halls."""
         self._rng = rng
         self._states: dict[str, target_state.TargetState] = {}
         # Whether any service tells what its cold targets can handle.
         self._bounds_cold = False
         self._by_service: dict[str, list[target_state.TargetState]] = {}
-        self._service_times: dict[str, estimators.Average] = {}
+        self._service_times: dict[str, estimators.MovingAverage] = {}
         self.sightings = target_sightings.TargetSightings(
             mechanisms.Mechanism.SHARED_EVIDENCE not in without
         )
@@ -139,13 +139,13 @@
         for entry in entries:
             spec = services.get(entry.service)
             connections = spec.connections if spec is not None else 1
-            state = self._states.get(entry.life)
+            state = self._states.get(entry.process_key)
             target = _target(entry, connections)
             if state is None:
                 replica = replicas.make_replica(target)
-                average = estimators.Average(LATENCY_WEIGHT)
+                average = estimators.MovingAverage(LATENCY_WEIGHT)
                 state = target_state.TargetState(
-                    replica, average, estimators.Average(ERROR_WEIGHT), identity=entry.id
+                    replica, average, estimators.MovingAverage(ERROR_WEIGHT), identity=entry.id
                 )
                 added.append(state)
             state.replica.target = target
@@ -159,7 +159,7 @@
                 # instances turn to it at once.
                 state.assumed_cold_until = now + spec.cold_seconds
             state.is_evacuated = entry.hall in evacuated
-            present[entry.life] = state
+            present[entry.process_key] = state
             by_service.setdefault(entry.service, []).append(state)
         gone = [state for name, state in self._states.items() if name not in present]
         again = {state.identity for state in added}
@@ -218,7 +218,7 @@
             if not (state.replica.is_leaving or state.is_evacuated)
         ]
         if homes:
-            return [state for state in taking if self.ways.is_home(state.hall, homes)]
+            return [state for state in taking if self.ways.is_in_home_region(state.hall, homes)]
         return taking
 
     def _able(
@@ -228,7 +228,7 @@
         able = []
         for state in self._open(service, homes):
             replica = state.replica
-            has_room = replica.in_flight < replica.limit.value and replica.rest_until <= now
+            has_room = replica.in_flight < replica.limit.value and replica.backoff_until <= now
             if has_room and replica.target.name not in excluded:
                 able.append(state)
         if self._bounds_cold:
@@ -253,7 +253,7 @@
         patience = self.patience(service)
         return any(
             state.hall == hall
-            and state.replica.rest_until <= now
+            and state.replica.backoff_until <= now
             and not state.replica.is_stalled(now, patience)
             and not state.is_bounded(now)
             for state in self._open(service)
@@ -435,7 +435,7 @@
             expected = max(expected, told)
         load = 0.0
         if self._knows_load:
-            load = replica.load(now) if replica.foreign else replica.in_flight
+            load = replica.load(now) if replica.foreign_load else replica.in_flight
         slots = target.slots
         if load + 1 > slots:
             expected += (load + 1 - slots) / slots * usual
@@ -461,7 +461,7 @@
             Seconds; only those of the way while nothing is known of the services.
         """
         slowest = max((self.service_time(service) for service in services), default=0.0)
-        return self.ways.farthest + USUAL_WORK * slowest
+        return self.ways.longest + USUAL_WORK * slowest
 
     def patience(self, service: str) -> float:
         """Tell after how many seconds without progress a target of a service is stalled."""
@@ -478,7 +478,7 @@
         service = state.replica.target.service
         usual = self._service_times.get(service)
         if usual is None:
-            usual = self._service_times[service] = estimators.Average(SERVICE_WEIGHT)
+            usual = self._service_times[service] = estimators.MovingAverage(SERVICE_WEIGHT)
         self.sightings.note_answer(state.id, now, seconds, usual.value)
         known = max(usual.value, state.latency.value)
         usual.record(seconds)
@@ -514,7 +514,7 @@
 
 def _target(entry: target_view.TargetEntry, connections: int) -> catalog.Target:
     return catalog.Target(
-        name=entry.life,
+        name=entry.process_key,
         service=entry.service,
         hall=entry.hall,
         host=entry.host,
--- a/src/lineworks/forwarding/target_documents.py
+++ b/src/lineworks/forwarding/target_documents.py
@@ -52,7 +52,7 @@
     """
     if not found:
         return b""
-    rows = [[one.standing.value, round(one.seconds, 3), *_row(one.change)] for one in found]
+    rows = [[one.reason.value, round(one.seconds, 3), *_row(one.change)] for one in found]
     return json.dumps(rows, separators=(",", ":")).encode()
 
 
@@ -72,7 +72,9 @@
         return []
     try:
         return [
-            target_view.Unsettled(_change(row[2:]), target_view.Standing(row[0]), _seconds(row[1]))
+            target_view.Unsettled(
+                _change(row[2:]), target_view.UnsettledReason(row[0]), _seconds(row[1])
+            )
             for row in json.loads(data)
         ]
     except (ValueError, TypeError, IndexError, KeyError, RecursionError) as error:
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -121,9 +121,9 @@
         """
         usual = self._book.service_time(state.replica.target.service)
         if usual and seconds > SLOW_FACTOR * usual:
-            state.replica.on_lost_race(now)
-            if state.replica.suspect_until > now:
-                self._note_avoided(state, now, state.replica.suspect_until, "slow", seconds)
+            state.replica.on_attempt_abandoned(now)
+            if state.replica.ejected_until > now:
+                self._note_avoided(state, now, state.replica.ejected_until, "slow", seconds)
         self._book.note_given_up(state, now, seconds)
 
     def _on_failure(
@@ -132,12 +132,12 @@
         replica = state.replica
         if found.reason is verdict.Reason.OVERLOADED:
             replica.limit.on_refused()
-            replica.rest_until = now + SHED_REST
+            replica.backoff_until = now + SHED_REST
         elif found.reason in (verdict.Reason.UNREACHABLE, verdict.Reason.LINK_LOST):
             replica.on_unreachable(now, self._rng)
             if found.reason is verdict.Reason.UNREACHABLE:
                 self._book.sightings.note_unreachable(state.id, now)
-            self._note_avoided(state, now, replica.rest_until, found.reason.value, 0.0)
+            self._note_avoided(state, now, replica.backoff_until, found.reason.value, 0.0)
         elif found.reason is verdict.Reason.LEAVING:
             # Another process has the address, so this one is gone for good.
             replica.is_leaving = True
--- a/src/lineworks/forwarding/target_sightings.py
+++ b/src/lineworks/forwarding/target_sightings.py
@@ -25,7 +25,7 @@
         self._is_shared = is_shared
         self.evidence = target_evidence.TargetEvidence()
         """What this instance and others saw."""
-        self.on_sighting: Callable[[target_evidence.Sighting], None] = lambda sighting: None
+        self.on_sighting: Callable[[target_evidence.Observation], None] = lambda observation: None
         """Takes what this instance saw."""
 
     @property
@@ -60,8 +60,8 @@
             usual: Usual time of its service, in seconds.
         """
         is_fast = seconds <= target_evidence.FAST_FACTOR * usual
-        if is_fast and self.evidence.is_called_slow(target):
-            self._tell(target_evidence.Sighting(target, target_evidence.Kind.WELL), now)
+        if is_fast and self.evidence.has_slow_reports(target):
+            self._tell(target_evidence.Observation(target, target_evidence.Kind.WELL), now)
         else:
             self.note_given_up(target, now, seconds, usual)
 
@@ -76,7 +76,7 @@
         """
         if usual and seconds >= target_evidence.SLOW_FACTOR * usual:
             factor = seconds / usual
-            self._tell(target_evidence.Sighting(target, target_evidence.Kind.SLOW, factor), now)
+            self._tell(target_evidence.Observation(target, target_evidence.Kind.SLOW, factor), now)
 
     def note_unreachable(self, target: str, now: float) -> None:
         """Tell of a target that no connection could be opened to.
@@ -85,8 +85,8 @@
             target: Identity of its process.
             now: The present, in seconds.
         """
-        factor = target_evidence.MOST_FACTOR
-        self._tell(target_evidence.Sighting(target, target_evidence.Kind.SLOW, factor), now)
+        factor = target_evidence.MAX_FACTOR
+        self._tell(target_evidence.Observation(target, target_evidence.Kind.SLOW, factor), now)
 
     def note_gone(self, target: str, now: float) -> None:
         """Tell that another process has a target's address.
@@ -95,12 +95,12 @@
             target: Identity of the process that was expected.
             now: The present, in seconds.
         """
-        self._tell(target_evidence.Sighting(target, target_evidence.Kind.GONE), now)
+        self._tell(target_evidence.Observation(target, target_evidence.Kind.GONE), now)
 
-    def _tell(self, sighting: target_evidence.Sighting, now: float) -> None:
+    def _tell(self, observation: target_evidence.Observation, now: float) -> None:
         if not self._is_shared:
             return
-        if sighting.kind is not target_evidence.Kind.SLOW:
+        if observation.kind is not target_evidence.Kind.SLOW:
             # What this instance saw itself holds here at once.
-            self.evidence.believe(sighting, now)
-        self.on_sighting(sighting)
+            self.evidence.believe(observation, now)
+        self.on_sighting(observation)
--- a/src/lineworks/forwarding/target_state.py
+++ b/src/lineworks/forwarding/target_state.py
@@ -17,10 +17,10 @@
     replica: replicas.Replica
     """Load, limit, back-off and stalls."""
 
-    latency: estimators.Average
+    latency: estimators.MovingAverage
     """Seconds that it took lately."""
 
-    errors: estimators.Average
+    errors: estimators.MovingAverage
     """Share of its answers that were failures."""
 
     noted_at: float = -math.inf
@@ -88,8 +88,8 @@
         return "leaving"
     if state.is_evacuated:
         return f"evacuated with {state.hall}"
-    if replica.rest_until > now:
-        left = round((replica.rest_until - now) * 1000)
+    if replica.backoff_until > now:
+        left = round((replica.backoff_until - now) * 1000)
         return f"left alone for {left} ms after {replica.failures} failures"
     if replica.in_flight >= replica.limit.value:
         return f"full with {replica.in_flight}"
--- a/src/lineworks/kernel/bounded_log.py
+++ b/src/lineworks/kernel/bounded_log.py
@@ -29,7 +29,7 @@
         self._clock = clock
         self._log = structlog.get_logger(component=component)
         self._rate = rate
-        self._tokens = estimators.Budget(max(1.0, BURST_SECONDS * rate))
+        self._tokens = estimators.TokenBudget(max(1.0, BURST_SECONDS * rate))
         self._refilled_at = clock.seconds()
         self._reported_at = clock.seconds()
         self.left_out = 0
--- a/src/lineworks/models/target_http.py
+++ b/src/lineworks/models/target_http.py
@@ -100,7 +100,7 @@
     return ports.Outcome(found, snapshot, b"", report)
 
 
-def report_headers(report: replicas.Report) -> dict[str, str]:
+def report_headers(report: replicas.StatusReport) -> dict[str, str]:
     """Write a report as reply headers, as a target does.
 
     Args:
@@ -117,7 +117,7 @@
     }
 
 
-def state_name(report: replicas.Report) -> str:
+def state_name(report: replicas.StatusReport) -> str:
     """Name the state that a report tells.
 
     Args:
@@ -131,7 +131,7 @@
     return "cold" if report.is_cold else "serving"
 
 
-def parse_report(document: Any) -> replicas.Report:
+def parse_report(document: Any) -> replicas.StatusReport:
     """Read the body of `GET /v1/report`.
 
     Args:
@@ -144,7 +144,7 @@
         MalformedReplyError: A key is missing or wrong.
     """
     try:
-        return replicas.Report(
+        return replicas.StatusReport(
             str(document["incarnation"]),
             frozenset(catalog.parse_snapshot(text) for text in document["holds"]),
             int(document["busy"]),
@@ -156,12 +156,12 @@
         raise MalformedReplyError(f"report: {error}") from error
 
 
-def _read_report_headers(headers: Mapping[str, str]) -> replicas.Report | None:
+def _read_report_headers(headers: Mapping[str, str]) -> replicas.StatusReport | None:
     if INCARNATION not in headers:
         return None
     busy, _, queue = headers.get(LOAD, "0,0").partition(",")
     state = headers.get(STATE, "serving")
-    return replicas.Report(
+    return replicas.StatusReport(
         headers[INCARNATION],
         catalog.parse_snapshots(headers.get(HOLDS, "")),
         int(busy),
--- a/src/lineworks/services/target_pool.py
+++ b/src/lineworks/services/target_pool.py
@@ -168,7 +168,7 @@
             return self._refuse_later(exchange, verdict.Reason.CAPPED, detail)
         return functools.partial(self._cancel, target, attempt, exchange)
 
-    def ask_report(self, target: catalog.Target) -> defer.Deferred[replicas.Report | None]:
+    def ask_report(self, target: catalog.Target) -> defer.Deferred[replicas.StatusReport | None]:
         """Ask a target how it is.
 
         Args:
@@ -177,7 +177,7 @@
         Returns:
             A deferred with its report, or None when there was no connection to spare or no reply.
         """
-        asked: defer.Deferred[replicas.Report | None] = defer.Deferred()
+        asked: defer.Deferred[replicas.StatusReport | None] = defer.Deferred()
 
         def take(response: target_connection.Response | None) -> None:
             if not asked.called:
@@ -270,7 +270,7 @@
     return target_connection.write_request(method, path, host, headers, body)
 
 
-def _parse_report(response: target_connection.Response | None) -> replicas.Report | None:
+def _parse_report(response: target_connection.Response | None) -> replicas.StatusReport | None:
     if response is None or response.status != 200:
         return None
     try:
--- a/src/lineworks/standins/target_model.py
+++ b/src/lineworks/standins/target_model.py
@@ -131,7 +131,7 @@
         self.is_down = False
         self.holds = holds
         self.books = Books()
-        self.report_override: Callable[[replicas.Report], replicas.Report] | None = None
+        self.report_override: Callable[[replicas.StatusReport], replicas.StatusReport] | None = None
 
     @property
     def busy(self) -> int:
@@ -143,14 +143,14 @@
         """Requests waiting."""
         return len(self._queue)
 
-    def report(self) -> replicas.Report:
+    def report(self) -> replicas.StatusReport:
         """Say how it is, truly unless a fault is set.
 
         Returns:
             The report.
         """
         now = self._clock.seconds()
-        report = replicas.Report(
+        report = replicas.StatusReport(
             self.incarnation,
             self.holds,
             len(self._running),
--- a/src/lineworks/wire/_gather_codec.py
+++ b/src/lineworks/wire/_gather_codec.py
@@ -112,7 +112,7 @@
         row.hall = change.hall
         row.revision = change.position.revision
         row.era = change.position.era
-        row.isAsked = change.is_asked
+        row.isAsked = change.is_evacuated
 
 
 def _read_targets(body: Any, now: float) -> node_frames.TargetUpdate:
--- a/src/lineworks/wire/_sharing_codec.py
+++ b/src/lineworks/wire/_sharing_codec.py
@@ -76,7 +76,7 @@
         raise _base.MalformedFrameError("columns of different lengths")
     return node_frames.TargetReports(
         tuple(
-            target_evidence.Sighting(target, _KINDS[kind], factor / _HUNDREDTHS)
+            target_evidence.Observation(target, _KINDS[kind], factor / _HUNDREDTHS)
             for target, kind, factor in zip(*columns, strict=True)
         ),
         body.isBelief,
--- a/src/lineworks/wire/_suspect_codec.py
+++ b/src/lineworks/wire/_suspect_codec.py
@@ -43,7 +43,7 @@
     if {len(column) for column in ends} != {sum(counts)}:
         raise _base.MalformedFrameError("columns of different lengths")
     read = [
-        suspects.End(
+        suspects.TargetEnd(
             target,
             attempt,
             now - age / _base.MICROSECONDS,
--- a/src/lineworks/wire/node_frames.py
+++ b/src/lineworks/wire/node_frames.py
@@ -165,7 +165,7 @@
 class TargetReports:
     """Tells the keeper of a data hall what was seen of targets, or the hall what it made of it."""
 
-    sightings: tuple[target_evidence.Sighting, ...]
+    sightings: tuple[target_evidence.Observation, ...]
     """One for each target."""
 
     is_belief: bool = False
--- a/tests/test_acting_together.py
+++ b/tests/test_acting_together.py
@@ -179,7 +179,7 @@
         keeper = keeper_of(made, hall)
         for name in made.names:
             node = made.world.nodes[name]
-            believed = {one for one in slow if node._book.sightings.evidence.is_called_slow(one)}
+            believed = {one for one in slow if node._book.sightings.evidence.has_slow_reports(one)}
             if name.startswith(hall) and name != keeper:
                 assert node._evidence.counts["weighed"] == 0
                 assert believed
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -93,7 +93,7 @@
 _evacuation = st.builds(evacuations.EvacuationChange, _text, _position, st.booleans())
 _names = st.lists(_text, max_size=5).map(tuple)
 _sighting = st.builds(
-    target_evidence.Sighting,
+    target_evidence.Observation,
     _text,
     st.sampled_from(target_evidence.Kind),
     st.integers(0, 600).map(float),
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -39,8 +39,8 @@
         # number that it counts covers all that may live, or is unknown.
         seen = rng.sample(names, rng.randint(0, count))
         known = rng.choice([0, count, count, count + rng.randint(0, 40)])
-        allowance.note_names(seen, 0.0)
-        allowance.note_count(known)
+        allowance.note_instances(seen, 0.0)
+        allowance.note_instance_count(known)
         allowances.append(allowance)
     sent = []
     for step in range(120):
@@ -58,8 +58,8 @@
     shares = []
     for name in names:
         allowance = cold_targets.ColdAllowance(name, BOUND)
-        allowance.note_names(names, 0.0)
-        allowance.note_count(count)
+        allowance.note_instances(names, 0.0)
+        allowance.note_instance_count(count)
         shares.append(allowance.share("t", 10.0))
     assert 14 <= sum(shares) <= 20
 
@@ -67,7 +67,7 @@
 def test_nothing_may_be_sent_while_the_number_of_instances_is_unknown():
     allowance = cold_targets.ColdAllowance("a", BOUND)
     assert allowance.share("t", 100.0) == 0
-    allowance.note_count(1)
+    allowance.note_instance_count(1)
     assert allowance.share("t", 100.0) == 155
 
 
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -59,7 +59,7 @@
             entries, {name: routes.ServiceSpec(name, 25) for name in services}
         ).added
         if stalled_beside:
-            states[0].replica.suspect_until = 1.0
+            states[0].replica.ejected_until = 1.0
         self.states = {state.replica.target.service: state for state in states}
         for name in full:
             self.states[name].replica.in_flight = 2
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -18,7 +18,7 @@
 
 def report(**more):
     values = {"incarnation": "1", "holds": frozenset({HELD}), **more}
-    return replicas.Report(**values)
+    return replicas.StatusReport(**values)
 
 
 def test_only_holders_of_the_snapshot_are_usable():
@@ -50,10 +50,10 @@
 
 def test_slow_attempts_given_up_make_a_suspect_until_it_replies():
     replica, other = make("a"), make("b")
-    for number in range(replicas.SUSPECT_AFTER):
+    for number in range(replicas.EJECT_AFTER_LOSSES):
         replica.on_started(float(number))
         replica.on_ended(number + 0.5, is_progress=False)
-        replica.on_lost_race(number + 0.5)
+        replica.on_attempt_abandoned(number + 0.5)
     assert replicas.usable([replica, other], HELD, 1.55, 1.0) == [other]
     replica.on_started(1.55)
     replica.on_ended(1.58, is_progress=True)
@@ -80,7 +80,7 @@
     replica.on_snapshot_refused(0.0, HELD)
     replica.on_report(1.0, report())
     assert HELD not in replica.holds
-    replica.on_report(1.0 + replicas.DISBELIEF, report())
+    replica.on_report(1.0 + replicas.SNAPSHOT_REFUSAL_SECONDS, report())
     assert HELD in replica.holds
 
 
@@ -91,8 +91,8 @@
         replica.on_started(float(number))
         replica.on_ended(float(number), is_progress=False)
         replica.on_unreachable(float(number), rng)
-        rests.append(replica.rest_until - number)
-    assert rests[0] < rests[3] < rests[-1] <= replicas.BACKOFF_CAP
+        rests.append(replica.backoff_until - number)
+    assert rests[0] < rests[3] < rests[-1] <= replicas.BACKOFF_CAP_SECONDS
 
 
 def test_a_cold_target_starts_with_one_attempt():
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -101,9 +101,9 @@
 
 def test_a_full_memory_forgets_the_least_dangerous_and_counts_it():
     held = make_refused()
-    for number in range(suspects.MOST_RECORDS):
+    for number in range(suspects.MAX_RECORDS):
         held.note_ends(f"{number:024d}", ["i-1"], "w", False, 1.0 + number)
-    assert len(held.records) == suspects.MOST_RECORDS
+    assert len(held.records) == suspects.MAX_RECORDS
     assert held.forgotten == 1
     assert held.judge(A, 1.0) is REFUSE
     assert f"{0:024d}" not in held.records
@@ -117,12 +117,12 @@
         held.note_ends(A, [name], "v", False, 2.0)
         held.note_proven(A, name, "v", 2.0)
     record = held.records[A]
-    assert len(record.ends) <= suspects.MOST_ENDS
+    assert len(record.ends) <= suspects.MAX_ENDS
     assert held.judge(A, 2.0) is REFUSE
 
 
 ENDS = strategies.builds(
-    suspects.End,
+    suspects.TargetEnd,
     target=strategies.sampled_from([f"i-{number}" for number in range(12)]),
     attempt=strategies.sampled_from(["t1", "t2"]),
     at=strategies.integers(0, 5).map(float),
@@ -214,15 +214,15 @@
     wave(held, now=2.0)
     assert not held.records
     # Another instance doesn't know, and is told.
-    told = suspects.Record(A, 0, (suspects.End("i-1", "t", 2.0, False, True),))
+    told = suspects.Record(A, 0, (suspects.TargetEnd("i-1", "t", 2.0, False, True),))
     assert held.merge(told, 2.1) is not None
-    cleared = held.contradict(A, 2.1)
+    cleared = held.clear_if_answered(A, 2.1)
     assert cleared is not None
     assert cleared.cleared_at == 2.1
     assert held.judge(A, 2.2) is CLEAR
     later = 1.0 + suspects.CLEARED_SECONDS
-    assert held.contradict("b" * 24, later) is None
-    for number in range(suspects.MOST_ANSWERED):
+    assert held.clear_if_answered("b" * 24, later) is None
+    for number in range(suspects.MAX_ANSWERED):
         held.note_answer(f"{number:024d}", 3.0)
     wave(held, now=3.0 + suspects.CLEARED_SECONDS)
     assert held.judge(A, 3.0 + suspects.CLEARED_SECONDS) is TRIAL
--- a/tests/test_target_book.py
+++ b/tests/test_target_book.py
@@ -73,7 +73,7 @@
 def test_what_keeps_targets_from_being_asked_is_told_for_each():
     book, (near, far) = build()
     assert book.describe("other", 0.0) == "no target known"
-    near.replica.rest_until = 0.08
+    near.replica.backoff_until = 0.08
     near.replica.failures = 2
     far.replica.in_flight = 3
     assert book.describe("s", 0.0) == "near left alone for 80 ms after 2 failures, far full with 3"
--- a/tests/test_target_evidence.py
+++ b/tests/test_target_evidence.py
@@ -20,7 +20,7 @@
 
 
 def slow(evidence, origin, at, target="i-1", factor=8.0):
-    evidence.note(target_evidence.Sighting(target, SLOW, factor), origin, at)
+    evidence.note(target_evidence.Observation(target, SLOW, factor), origin, at)
 
 
 def test_one_instance_is_not_believed_however_often_it_says_so(evidence):
@@ -42,13 +42,13 @@
     slow(evidence, "b", 1.5, factor=3.0)
     assert evidence.slowness("i-1", 1.5).factor == 3.0
     slow(evidence, "c", 1.6, factor=900.0)
-    assert evidence.slowness("i-1", 1.6).factor == target_evidence.MOST_FACTOR
+    assert evidence.slowness("i-1", 1.6).factor == target_evidence.MAX_FACTOR
 
 
 def test_a_fast_answer_ends_what_was_said(evidence):
     slow(evidence, "a", 1.0)
     slow(evidence, "b", 1.5)
-    well = target_evidence.Sighting("i-1", target_evidence.Kind.WELL)
+    well = target_evidence.Observation("i-1", target_evidence.Kind.WELL)
     evidence.note(well, "c", 1.6)
     assert evidence.slowness("i-1", 1.6) is None
 
@@ -56,8 +56,8 @@
 def test_reports_are_forgotten_with_age(evidence):
     slow(evidence, "a", 1.0)
     slow(evidence, "b", 1.5)
-    assert evidence.slowness("i-1", 1.5 + target_evidence.MEMORY_SECONDS) is not None
-    assert evidence.slowness("i-1", 1.51 + target_evidence.MEMORY_SECONDS) is None
+    assert evidence.slowness("i-1", 1.5 + target_evidence.BELIEF_SECONDS) is not None
+    assert evidence.slowness("i-1", 1.51 + target_evidence.BELIEF_SECONDS) is None
 
 
 def test_pauses_of_a_sound_target_some_seconds_apart_do_not_make_it_slow(evidence):
@@ -84,17 +84,17 @@
 
 
 def test_a_process_that_was_replaced_at_its_address_counts_at_once(evidence):
-    gone = target_evidence.Sighting("i-1", target_evidence.Kind.GONE)
+    gone = target_evidence.Observation("i-1", target_evidence.Kind.GONE)
     evidence.note(gone, "a", 1.0)
-    assert evidence.slowness("i-1", 1.1).factor == target_evidence.MOST_FACTOR
-    assert evidence.slowness("i-1", 1.1 + target_evidence.MEMORY_SECONDS) is None
+    assert evidence.slowness("i-1", 1.1).factor == target_evidence.MAX_FACTOR
+    assert evidence.slowness("i-1", 1.1 + target_evidence.BELIEF_SECONDS) is None
 
 
 def test_targets_that_left_are_forgotten(evidence):
     slow(evidence, "a", 1.0)
     slow(evidence, "b", 1.5)
     evidence.forget_absent({"i-2"})
-    assert not evidence.is_called_slow("i-1")
+    assert not evidence.has_slow_reports("i-1")
     assert evidence.slowness("i-1", 1.6) is None
 
 
@@ -113,7 +113,7 @@
 def tell_all(book, target, at=1.0):
     for origin, later in (("a", 0.0), ("b", 0.4)):
         book.sightings.evidence.note(
-            target_evidence.Sighting(target, SLOW, 8.0), origin, at + later
+            target_evidence.Observation(target, SLOW, 8.0), origin, at + later
         )
 
 
@@ -152,11 +152,11 @@
     assert told == []
     book.note_answer(first, 1.1, 0.3)
     book.note_given_up(second, 1.2, 0.15)
-    assert [(sighting.target, sighting.kind) for sighting in told] == [
+    assert [(observation.target, observation.kind) for observation in told] == [
         (first.id, SLOW),
         (second.id, SLOW),
     ]
     book.sightings.evidence.believe(told[-1], 1.25)
     book.note_answer(second, 1.3, 0.03)
-    assert not book.sightings.evidence.is_called_slow(second.id)
-    assert told[-1] == target_evidence.Sighting(second.id, target_evidence.Kind.WELL)
+    assert not book.sightings.evidence.has_slow_reports(second.id)
+    assert told[-1] == target_evidence.Observation(second.id, target_evidence.Kind.WELL)
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -54,7 +54,7 @@
     view.apply([change(1), change(1, dataclasses.replace(ENTRY, id="i-2"), "i-2")], 0)
     assert not view.apply([change(2, None), change(2, None, "i-2")], hold_until=10.0)
     assert set(view.entries) == {"i-1", "i-2"}
-    assert view.certain() == {}
+    assert view.confirmed_entries() == {}
     view.apply([change(3)], 0)
     assert not view.expire(9.9)
     assert view.expire(10.0)
@@ -112,18 +112,18 @@
 
 def test_what_had_gone_is_believed_when_dead_entries_would_be_gone():
     view = returned()
-    assert not view.believe(14.9)
-    assert view.believe(15.0)
+    assert not view.accept_doubted(14.9)
+    assert view.accept_doubted(15.0)
     assert view.entries
 
 
 def test_what_goes_again_is_not_believed_later():
     removed = returned()
     removed.apply([change(6, None, era=2)], 0)
-    assert not removed.believe(20.0)
+    assert not removed.accept_doubted(20.0)
     missing = returned()
     missing.replace([], at(9, 2), 0)
-    assert not missing.believe(20.0)
+    assert not missing.accept_doubted(20.0)
 
 
 def test_another_process_under_the_identity_is_not_doubted():
@@ -141,16 +141,16 @@
     told = target_documents.decode_unsettled(
         target_documents.encode_unsettled(returned().unsettled(10.0))
     )
-    assert view.take_unsettled(told, 10.0)
+    assert view.apply_unsettled(told, 10.0)
     assert not view.entries
-    assert not view.believe(14.9)
-    assert view.believe(15.0)
+    assert not view.accept_doubted(14.9)
+    assert view.accept_doubted(15.0)
 
 
 def test_a_peer_that_knows_more_doubts_nothing():
     view = target_view.TargetView()
     view.apply([change(6, era=2)], 0)
-    assert not view.take_unsettled(returned().unsettled(10.0), 10.0)
+    assert not view.apply_unsettled(returned().unsettled(10.0), 10.0)
     assert view.entries
 
 
@@ -160,9 +160,9 @@
     first.apply([change(2, None)], hold_until=12.0)
     second = target_view.TargetView()
     second.replace(first.all_changes(), at(9), 0)
-    second.take_unsettled(first.unsettled(10.0), 10.0)
+    second.apply_unsettled(first.unsettled(10.0), 10.0)
     assert set(second.entries) == {"i-1"}
-    assert second.certain() == {}
+    assert second.confirmed_entries() == {}
     assert not second.expire(11.9)
     assert second.expire(12.0)
 
@@ -190,7 +190,7 @@
     view = target_view.TargetView()
     view.apply([change(3, era=2)], 0)
     view.replace([], at(9, 3), 0, held={"i-1": 12.0})
-    assert view.certain() == {}
+    assert view.confirmed_entries() == {}
     assert view.expire(12.0)
 
 
@@ -201,6 +201,6 @@
     started.replace([change(2, era=2)], at(4, 2), 0)
     knows.replace([change(2, era=2)], at(4, 2), 0)
     assert knows.entries["i-1"].is_leaving
-    told = knows.contradict(started.all_changes(), 0.0)
-    assert started.take_unsettled(told, 0.0)
+    told = knows.corrections(started.all_changes(), 0.0)
+    assert started.apply_unsettled(told, 0.0)
     assert started.entries["i-1"].is_leaving
