--- a/src/lineworks/decisions/cold_targets.py
+++ b/src/lineworks/decisions/cold_targets.py
@@ -1,11 +1,12 @@
-"""How much work a cold target gets: a bound over all instances, held by each without asking.
-
-The load pattern: a hall of targets comes back cold at one moment, and every instance turns to it. A
-cold target falls over well above the rate that it can handle, so what all instances send it within
-a second is bounded. Each may send its part by the number of instances that it knows of. Where there
-are more instances than requests, only those may send that rank first for the target, each one
-request a second; an instance that it has not heard of counts as ranking before it. So views that
-differ, cuts and frozen instances make the sum smaller, never greater.
+"""Limits the request rate to a cold target over all instances, without coordination between them.
+
+When a data hall of cold targets returns, every instance sends to it at the same moment, and a cold
+target fails well above the rate that it can handle. The requests that all instances together send
+to it within a second are therefore limited. Each instance divides the limit by the number of
+instances that it knows of. When there are more instances than allowed requests, the instances are
+ranked per target and only the first ones may send, one request a second each; an instance ranks
+itself after every instance whose name it does not know. Differing views, network partitions and
+frozen instances can therefore only lower the total, never raise it.
 """
 
 from __future__ import annotations
@@ -20,41 +21,41 @@
     from collections.abc import Iterable
 
 WINDOW_SECONDS = 1.05
-"""Seconds that a request counts: the bound is one of any second, and clocks and timers are off by a
-little."""
+"""Length of the sliding window, in seconds: the limit applies to any one second, and the margin
+allows for inaccurate clocks and timers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ColdBound:
-    """What the deployment allows beyond the rate that a cold target can handle."""
+    """Limit on the requests to a cold target, relative to the rate that it can handle."""
 
     factor: float = 1.0
-    """Multiple of that rate."""
+    """Factor by which the rate is multiplied."""
 
     slack: float = 0.0
-    """Requests a second besides."""
+    """Requests per second added to the product."""
 
     def max_requests(self, rate: float) -> int:
-        """Tell how many requests a second a cold target may get from all instances together.
+        """Return the requests per second that a cold target may get from all instances together.
 
         Args:
-            rate: Requests a second that it can handle while cold.
+            rate: Requests per second that it can handle while cold.
 
         Returns:
-            Whole requests.
+            Requests per second, rounded down.
         """
         return int(rate * self.factor + self.slack)
 
 
 class ColdAllowance:
-    """What this instance may send to cold targets."""
+    """Tracks what this instance has sent to cold targets and may still send."""
 
     def __init__(self, own: str, bound: ColdBound) -> None:
-        """Start without knowing other instances: nothing may be sent.
+        """Initialise with an unknown number of instances, so that nothing may be sent.
 
         Args:
             own: Name of this instance.
-            bound: What the deployment allows.
+            bound: Limit for all instances together.
         """
         self._own = own
         self._bound = bound
@@ -63,19 +64,19 @@
         self._sent: dict[str, collections.deque[float]] = {}
 
     def note_instance_count(self, count: int) -> None:
-        """Take in how many instances may live.
+        """Set how many instances may be running.
 
         Args:
-            count: Their number, those out of sight included; 0 while nothing is known.
+            count: Their number, including unreachable ones; 0 if unknown.
         """
         self._count = count
 
     def note_instances(self, names: Iterable[str], now: float) -> None:
-        """Take in which instances there are.
+        """Record the names of running instances.
 
         Args:
-            names: Names of those that are linked or listed.
-            now: The present, in seconds.
+            names: Instances that are connected or listed in the store.
+            now: Current time, in seconds.
         """
         for name in names:
             self._seen[name] = now
@@ -83,14 +84,14 @@
         self._seen = {name: at for name, at in self._seen.items() if at >= oldest}
 
     def share(self, target: str, rate: float) -> int:
-        """Tell how many requests this instance may send to a cold target within a second.
+        """Return how many requests this instance may send to a cold target within a second.
 
         Args:
             target: Identity of the target's process.
-            rate: Requests a second that it can handle while cold.
+            rate: Requests per second that it can handle while cold.
 
         Returns:
-            Whole requests; 0 while the number of instances is not known.
+            Number of requests; 0 while the number of instances is unknown.
         """
         max_requests = self._bound.max_requests(rate)
         others = self._seen.keys() - {self._own}
@@ -105,15 +106,15 @@
         return 1 if before + unknown < max_requests else 0
 
     def may_send(self, target: str, rate: float, now: float) -> bool:
-        """Say whether a request may be sent to a cold target now.
+        """Return whether a request may be sent to a cold target now.
 
         Args:
             target: Identity of the target's process.
-            rate: Requests a second that it can handle while cold.
-            now: The present, in seconds.
+            rate: Requests per second that it can handle while cold.
+            now: Current time, in seconds.
 
         Returns:
-            Whether the share of this second is not used up.
+            True unless the share for the current window is used up.
         """
         return len(self._recent(target, now)) < self.share(target, rate)
 
@@ -122,12 +123,12 @@
 
         Args:
             target: Identity of the target's process.
-            now: The present, in seconds.
+            now: Current time, in seconds.
         """
         self._recent(target, now).append(now)
 
     def forget(self, target: str) -> None:
-        """Drop what was counted for a target that is gone.
+        """Discard the counts for a target that is gone.
 
         Args:
             target: Identity of its process.
--- a/src/lineworks/decisions/estimators.py
+++ b/src/lineworks/decisions/estimators.py
@@ -1,4 +1,4 @@
-"""Running estimates: quantiles that forget, moving averages and token budgets."""
+"""Running estimates: decaying quantiles, moving averages and token budgets."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Quantiles:
-    """A histogram of durations with buckets 5% wide, which halves old counts.
+    """Estimates quantiles of durations from a decaying histogram with buckets 5% wide.
 
-    After each 2,000 samples all counts are halved, so that the estimate follows a changing
-    system. Quantiles are computed at most once in 50 samples.
+    All counts are halved after every 2,000 samples, so that the estimate follows a changing
+    system. Cached quantiles are recomputed after 50 samples.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
 
     @property
     def has_samples(self) -> bool:
-        """Whether there are enough samples for an estimate."""
+        """Whether there are enough samples (50) for an estimate."""
         return self._total >= _MIN_SAMPLES
 
     def record(self, seconds: float) -> None:
@@ -53,7 +53,7 @@
             share: Between 0 and 1, for example 0.95.
 
         Returns:
-            Seconds, the upper edge of the bucket; 0 without samples.
+            Upper edge of the bucket, in seconds; 0 without samples.
         """
         if self._since_refresh >= _REFRESH_EVERY:
             self._cache.clear()
@@ -85,12 +85,12 @@
         """Start without samples.
 
         Args:
-            weight: Share (0 to 1) that a new sample gets.
+            weight: Weight (0 to 1) of a new sample.
         """
         self._weight = weight
         self._has_samples = False
         self.value = 0.0
-        """The average so far; 0 without samples."""
+        """Current average; 0 without samples."""
 
     def record(self, sample: float) -> None:
         """Add one sample.
@@ -106,14 +106,14 @@
 
 
 class TokenBudget:
-    """Tokens earned by regular work and spent on extra work."""
+    """Token bucket that regular work fills and extra work, such as a retry, draws from."""
 
     def __init__(self, burst: float, start: float | None = None) -> None:
-        """Start with some tokens.
+        """Initialise the bucket.
 
         Args:
-            burst: Tokens kept at most.
-            start: Tokens at the start; `burst` when not given.
+            burst: Maximum number of tokens.
+            start: Initial tokens; defaults to `burst`.
         """
         self._burst = burst
         self._tokens = burst if start is None else start
@@ -127,15 +127,15 @@
         """Add tokens for regular work.
 
         Args:
-            tokens: How many, usually a fraction of one for each piece of work.
+            tokens: Number to add, usually a fraction of one per piece of work.
         """
         self._tokens = min(self._burst, self._tokens + tokens)
 
     def spend(self) -> bool:
-        """Take one token.
+        """Take one token if there is one.
 
         Returns:
-            Whether there was one to take.
+            Whether a token was taken.
         """
         if self._tokens < 1.0:
             return False
--- a/src/lineworks/decisions/evacuations.py
+++ b/src/lineworks/decisions/evacuations.py
@@ -1,8 +1,9 @@
-"""Which data halls get no new work because the operators asked for it.
+"""Tracks the data halls that the operators have evacuated: their targets get no new work.
 
-Fed like the view of the targets: from listings and from changes in any order, the position of each
-deciding which is newer. An evacuation has no lease, so one that is missing was taken back; unless
-the store came back from a copy that is older than it, and the operators have yet to write it again.
+Updates arrive as full listings and as changes, in any order; the position of each decides which is
+newer. An evacuation has no lease, so one that is missing from a listing was revoked, unless the
+store was restored from a copy older than the evacuation. In that case it stays in force for a while
+so that the operators can write it again.
 """
 
 from __future__ import annotations
@@ -17,45 +18,45 @@
 
 
 REWRITE_MARGIN_SECONDS = 1.0
-"""Seconds before the end of the time for which a missing evacuation is obeyed by which the
-operators have written it again."""
+"""Margin before the end of the hold time, in seconds. A missing evacuation is dropped only if the
+store answered within this margin or later, as the operators have rewritten it by then."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EvacuationChange:
-    """A change for one data hall."""
+    """The start or the end of the evacuation of one data hall."""
 
     hall: str
-    """The hall."""
+    """Name of the hall."""
 
     position: positions.Position
     """Position of the change."""
 
     is_evacuated: bool
-    """Whether nothing more is to be sent to the hall's targets."""
+    """Whether the hall's targets are to get no new work."""
 
 
 class Evacuations:
-    """The evacuated halls as one instance knows them."""
+    """The evacuated halls, as known to one instance."""
 
     def __init__(self) -> None:
         self._latest: dict[str, EvacuationChange] = {}
-        # By hall, when an evacuation ends that the store lacks since it came back.
+        # By hall: when an evacuation that the restored store lacks expires, in seconds.
         self._held: dict[str, float] = {}
 
     @property
     def halls(self) -> frozenset[str]:
-        """Halls whose targets get no new work."""
+        """The evacuated halls."""
         return frozenset(hall for hall, change in self._latest.items() if change.is_evacuated)
 
     def apply(self, changes: Iterable[EvacuationChange]) -> bool:
-        """Take in changes.
+        """Apply changes.
 
         Args:
             changes: The changes.
 
         Returns:
-            Whether other halls are evacuated than before.
+            Whether the set of evacuated halls changed.
         """
         before = self.halls
         for change in changes:
@@ -68,15 +69,16 @@
     def replace(
         self, listed: Iterable[EvacuationChange], position: positions.Position, hold_until: float
     ) -> bool:
-        """Take in all evacuations as they were at one position.
+        """Apply a full listing; evacuations that changed after its position are kept.
 
         Args:
-            listed: All that were asked for.
-            position: The position.
-            hold_until: Time until which an evacuation of an earlier era that is missing is obeyed.
+            listed: All evacuations in force at the position.
+            position: Position of the listing.
+            hold_until: Time, in seconds, until which a missing evacuation of an earlier era stays
+                in force.
 
         Returns:
-            Whether other halls are evacuated than before.
+            Whether the set of evacuated halls changed.
         """
         before = self.halls
         present = list(listed)
@@ -85,23 +87,23 @@
         for hall in self.halls - names:
             known = self._latest[hall].position
             if known.era < position.era:
-                # A second return soon after the first gives the operators their time again.
+                # A second restore soon after the first extends the time for rewriting.
                 self._held[hall] = max(hold_until, self._held.get(hall, 0.0))
             elif known <= position:
                 self._latest[hall] = EvacuationChange(hall, position, False)
         return self.halls != before
 
     def expire(self, now: float, asked_at: float, position: positions.Position) -> bool:
-        """End the evacuations that nobody wrote again after the store's return.
+        """End the held evacuations that were not written again after the store was restored.
 
         Args:
-            now: The present, in seconds.
-            asked_at: When the store was last asked with success: one that is away again can't
-                tell whether they were written.
-            position: Position up to which every change is known then.
+            now: Current time, in seconds.
+            asked_at: When the store was last read successfully, in seconds. While it is
+                unavailable it cannot tell whether they were rewritten.
+            position: Position up to which all changes are known.
 
         Returns:
-            Whether other halls are evacuated than before.
+            Whether the set of evacuated halls changed.
         """
         due = [
             hall
@@ -114,8 +116,9 @@
         return bool(due)
 
     def all_changes(self) -> tuple[EvacuationChange, ...]:
-        """List what is known, for a peer that knows nothing.
+        """Return the known changes, for a peer that has just started.
 
-        Left out is what the store lacks since it came back: peers that knew of it hold it as well.
+        Held evacuations, which the restored store lacks, are left out: peers that knew of them hold
+        them as well.
         """
         return tuple(found for hall, found in self._latest.items() if hall not in self._held)
--- a/src/lineworks/decisions/hall_ways.py
+++ b/src/lineworks/decisions/hall_ways.py
@@ -1,4 +1,4 @@
-"""How long the ways between data halls take, and what it costs to leave the own one."""
+"""Estimates round-trip times between data halls and the cost of using a remote hall."""
 
 from __future__ import annotations
 
@@ -8,95 +8,97 @@
     from collections.abc import Collection, Mapping
 
 SAME_HALL_SECONDS = 0.0005
-"""Way there and back within a data hall, in seconds: under a millisecond on the users' sheets."""
+"""Round-trip time within a data hall, in seconds; specified as under a millisecond."""
 
 SAME_REGION_SECONDS = 0.002
-"""Way there and back between data halls of one region, in seconds."""
+"""Round-trip time between data halls of one region, in seconds."""
 
 OTHER_REGION_SECONDS = 0.02
-"""Way there and back between regions, in seconds: 16 and 24 ms on the users' sheets."""
+"""Round-trip time between regions, in seconds; specified as 16 and 24 ms."""
 
 REMOTE_PENALTY_SECONDS = 0.02
-"""Seconds that a target in another hall must be faster by before it is preferred: its answer
-costs bytes between halls."""
+"""Seconds by which a target in another hall must be faster before it is preferred: its answer
+uses bandwidth between halls."""
 
 
 CONNECT_BASE_SECONDS = 0.06
-"""Seconds that a connection may always take to open: a target takes 6 ms for one, and may have
-others to take first."""
+"""Connect timeout without network latency, in seconds: a target takes 6 ms to accept a connection
+and may have others queued before it."""
 
 CONNECT_ROUND_TRIPS = 3.0
-"""Ways there and back besides. A target that is dark never answers, and what waits for it has not
-run and could be elsewhere, while half a second is more than an urgent search has in all."""
+"""Round trips added to the connect timeout. It is kept short because a target that lost power or
+network never answers, a request that waits for the connection has not run and can be sent
+elsewhere, and half a second exceeds the whole time budget of an urgent search."""
 
 
 def connect_seconds(round_trip: float) -> float:
-    """Tell how long to wait for a connection.
+    """Return the connect timeout.
 
     Args:
-        round_trip: Way there and back, in seconds.
+        round_trip: Round-trip time, in seconds.
 
     Returns:
-        Seconds.
+        Timeout in seconds.
     """
     return CONNECT_BASE_SECONDS + CONNECT_ROUND_TRIPS * round_trip
 
 
 class HallRoundTrips:
-    """The ways from one hall."""
+    """Round-trip times from one data hall to the others."""
 
     def __init__(self, hall: str, regions: Mapping[str, str]) -> None:
-        """Take the layout of a deployment.
+        """Initialise from the layout of a deployment.
 
         Args:
-            hall: The hall that the ways begin in.
-            regions: For each hall, its region.
+            hall: Hall from which the round trips start.
+            regions: Region of each hall.
         """
         self._hall = hall
         self._regions = regions
-        # Looked up some hundred times for a large search.
+        # Cached: a large search looks costs up several hundred times.
         self._costs: dict[str, float] = {}
 
     @property
     def longest(self) -> float:
-        """Way to the farthest hall and back, in seconds."""
+        """Round-trip time to the farthest hall, in seconds."""
         return max((self.round_trip(hall) for hall in self._regions), default=SAME_HALL_SECONDS)
 
     def is_in_home_region(self, hall: str, homes: Collection[str]) -> bool:
-        """Say whether requests with home regions may be served in a hall.
+        """Return whether a hall may serve requests that are bound to home regions.
 
         Args:
-            hall: The hall.
-            homes: The regions; empty for any.
+            hall: Name of the hall.
+            homes: Home regions; empty for no restriction.
 
         Returns:
-            Whether its region is one of them. A hall of no known region is nobody's home.
+            Whether the hall's region is a home region; False for a hall of unknown region
+            unless there is no restriction.
         """
         return not homes or self._regions.get(hall) in homes
 
     def cost(self, hall: str) -> float:
-        """Tell what the way to a hall costs.
+        """Return the cost of using a hall.
 
         Args:
-            hall: The hall.
+            hall: Name of the hall.
 
         Returns:
-            Seconds there and back, with the reluctance to leave the own hall.
+            Round-trip time in seconds, plus a penalty for other halls than the own one.
         """
         known = self._costs.get(hall)
         if known is None:
-            reluctance = REMOTE_PENALTY_SECONDS if hall != self._hall else 0.0
-            known = self._costs[hall] = self.round_trip(hall) + reluctance
+            penalty = REMOTE_PENALTY_SECONDS if hall != self._hall else 0.0
+            known = self._costs[hall] = self.round_trip(hall) + penalty
         return known
 
     def round_trip(self, hall: str) -> float:
-        """Tell how long the way to a hall and back takes.
+        """Return the round-trip time to a hall.
 
         Args:
-            hall: The hall.
+            hall: Name of the hall.
 
         Returns:
-            Seconds.
+            Round-trip time in seconds.
         """
         if hall == self._hall:
             return SAME_HALL_SECONDS
--- a/src/lineworks/decisions/hedging.py
+++ b/src/lineworks/decisions/hedging.py
@@ -1,8 +1,8 @@
-"""When a second attempt is started for a sub-query that is slow.
+"""Rules that decide when a slow sub-query is hedged, that is, sent a second time.
 
-A rule is a closure that is asked at a check time and answers with what to hedge now and when to
-ask again. The rule in force is `make_progress_rule`; the others are its baselines, compared in
-docs/design/hedging.md.
+A rule is a function that is called at check times and returns whether to hedge now and when to call
+it again. `make_progress_rule` makes the rule used in production; the others are baselines. They are
+compared in docs/design/hedging.md.
 """
 
 from __future__ import annotations
@@ -16,29 +16,30 @@
     from lineworks.decisions import estimators
 
 MIN_BUDGET_SHARE = 0.8
-"""Share of the hedge budget that the threshold is set to use up when no token is left."""
+"""Share of the hedge budget that the threshold aims to spend when no token is left."""
 
 MAX_BUDGET_SHARE = 1.4
-"""Share of the hedge budget that the threshold is set to use up when all tokens are left."""
+"""Share of the hedge budget that the threshold aims to spend when all tokens are left."""
 
 _FILL_STEPS = 8
 
 MIN_STRAGGLERS = 2
-"""Outstanding sub-queries that count as a query's last stragglers in any case."""
+"""Number of outstanding sub-queries that always count as a query's stragglers."""
 
 MAX_STRAGGLER_SHARE = 0.1
-"""Outstanding sub-queries, as a share of all, that count as its last stragglers."""
+"""Share of a query's sub-queries up to which the outstanding ones count as stragglers."""
 
 MIN_CHECK_SECONDS = 0.001
-"""Seconds between looks at one message's slow sub-queries at least."""
+"""Minimum interval between hedging checks of one message, in seconds."""
 
 RECHECK_SECONDS = 0.002
-"""Seconds after which a query whose bulk is still out is looked at again."""
+"""Seconds after which a query that still has more outstanding sub-queries than stragglers is
+checked again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueryProgress:
-    """How far a query is, as seen for one batch of its sub-queries."""
+    """Progress of a query, as seen by one batch of its sub-queries."""
 
     elapsed: float
     """Seconds since the batch was sent."""
@@ -47,7 +48,7 @@
     """Sub-queries of the whole query that have no reply yet."""
 
     total: int
-    """All sub-queries of the query."""
+    """Number of sub-queries of the query."""
 
     budget_fill: float = 0.5
     """Share (0 to 1) of the hedge tokens that are left."""
@@ -55,26 +56,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decision:
-    """What a rule says of a batch."""
+    """What a rule decides for a batch."""
 
     should_hedge: bool
     """Whether to hedge the batch's outstanding sub-queries now."""
 
     check_in: float | None
-    """Seconds until the rule wants to be asked again; None for never."""
+    """Seconds until the rule is to be called again; None for never."""
 
 
 HedgeRule: TypeAlias = "Callable[[QueryProgress, estimators.Quantiles, float], Decision]"
-"""(progress, latencies of batches on this path, hedge budget as a share) to advice."""
+"""Maps (progress, batch latencies on this path, hedge budget as a share) to a decision."""
 
 NO_HEDGE = Decision(False, None)
-"""Advice of a rule that does not hedge."""
+"""Decision not to hedge and not to check again."""
 
 
 def never_hedge(
     progress: QueryProgress, latencies: estimators.Quantiles, budget: float
 ) -> Decision:
-    """Never hedge.
+    """Never hedge; a baseline.
 
     Args:
         progress: Unused.
@@ -89,7 +90,7 @@
 
 
 def make_percentile_rule(share: float) -> HedgeRule:
-    """Make the plain rule: hedge whatever is slower than a fixed percentile.
+    """Make a baseline rule that hedges whatever is slower than a fixed percentile.
 
     Args:
         share: The percentile, for example 0.95.
@@ -115,16 +116,17 @@
     min_budget_share: float = MIN_BUDGET_SHARE,
     max_budget_share: float = MAX_BUDGET_SHARE,
 ) -> HedgeRule:
-    """Make the rule in force: hedge a query's last stragglers at a threshold set by the budget.
+    """Make the production rule: hedge a query's stragglers beyond a budget-driven threshold.
 
-    The threshold is the latency that a share of sub-queries exceeds which would use up the
-    budget: more than all of it while tokens are plentiful, less when they run out. A query hedges
-    only when few sub-queries are left, since an earlier hedge cannot make its answer ready sooner.
+    The threshold is the latency quantile at which hedging would spend a given share of the budget:
+    more than all of it while tokens are plentiful, less when they run out. A query is hedged only
+    when few sub-queries are outstanding, since an earlier hedge cannot complete it sooner.
 
     Args:
-        last_share: Outstanding share of a query that counts as its last stragglers.
-        least: Share of the budget to aim at when no token is left.
-        most: Share of the budget to aim at when all tokens are left.
+        max_straggler_share: Share of a query's sub-queries up to which the outstanding ones
+            count as stragglers.
+        min_budget_share: Share of the budget to spend when no token is left.
+        max_budget_share: Share of the budget to spend when all tokens are left.
 
     Returns:
         The rule.
@@ -148,11 +150,11 @@
 def make_quantile_multiple_rule(
     factor: float = 1.5, max_stragglers: int = MIN_STRAGGLERS
 ) -> HedgeRule:
-    """Make the rule of the probe: hedge the last few after `factor` times the bulk's time.
+    """Make a baseline rule that hedges the last few after `factor` times the 0.9 quantile.
 
     Args:
-        factor: Multiple of the median latency.
-        last: Outstanding sub-queries that may be hedged.
+        factor: Multiple of the 0.9 quantile of the latency.
+        max_stragglers: Outstanding sub-queries that may be hedged.
 
     Returns:
         The rule.
--- a/src/lineworks/decisions/replicas.py
+++ b/src/lineworks/decisions/replicas.py
@@ -1,9 +1,8 @@
-"""Which replica of a service gets an attempt.
+"""Chooses the replica of a service that gets an attempt.
 
 A gatherer keeps one `Replica` for each target that it owns. Its own observations (attempts in
-flight, time since the last sign of progress) count in full; a target's own report counts less
-the older it is, and never for more than a bounded load, so that a lie cannot draw or repel all
-traffic.
+flight, time since the last progress) count in full. The load that a target reports decays with age
+and is capped, so that a wrong report can neither attract nor repel all traffic.
 """
 
 from __future__ import annotations
@@ -21,36 +20,37 @@
     from lineworks.decisions import catalog
 
 REPORT_HALF_LIFE = 0.25
-"""Seconds after which a load report counts half."""
+"""Half-life of the weight of a load report, in seconds."""
 
 FOREIGN_LOAD_CAP = 2.0
-"""Load by other instances that a report can claim, as a multiple of the target's slots."""
+"""Cap on the reported load by other instances, as a multiple of the target's slots."""
 
 SNAPSHOT_REFUSAL_SECONDS = 5.0
-"""Seconds for which a snapshot that a target refused is not believed to be held by it."""
+"""Seconds for which a snapshot that a target refused counts as not held, whatever it reports."""
 
 EJECT_AFTER_LOSSES = 2
-"""Slow attempts in a row, without a reply between them, that make a replica suspect."""
+"""Consecutive abandoned slow attempts, without a reply between them, after which a replica is
+ejected."""
 
 EJECTION_START_SECONDS = 0.1
-"""Seconds that a suspect is passed over at first; doubled with each further loss."""
+"""Duration of the first ejection, in seconds; doubled with each further loss."""
 
 EJECTION_CAP_SECONDS = 2.0
-"""Seconds that a suspect is passed over at most before it is tried again."""
+"""Maximum duration of an ejection, in seconds."""
 
 BACKOFF_START_SECONDS = 0.05
-"""Seconds that a target is left alone after a first failure to connect."""
+"""Base of the backoff after failures to connect, in seconds; doubled with each failure."""
 
 BACKOFF_CAP_SECONDS = 5.0
-"""Seconds that a target is left alone at most."""
+"""Maximum backoff, in seconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusReport:
-    """What a target says of itself, in a reply or when asked."""
+    """Status that a target reports in a reply or on request."""
 
     incarnation: str
-    """Identity of the target's process; another one means that it restarted."""
+    """Identity of the target's process; it changes with each restart."""
 
     holds: frozenset[catalog.Snapshot]
     """Snapshots that it can serve."""
@@ -62,7 +62,7 @@
     """Requests waiting for a slot."""
 
     is_cold: bool = False
-    """Whether it has just started and asks for little work."""
+    """Whether it has just started and asks for reduced load."""
 
     is_leaving: bool = False
     """Whether it takes no new work."""
@@ -76,89 +76,90 @@
     """The configured target."""
 
     limit: limits.TargetLimit
-    """Concurrent attempts allowed."""
+    """Limit on concurrent attempts."""
 
     in_flight: int = 0
-    """Own attempts under way."""
+    """Own attempts in flight."""
 
     foreign_load: float = 0.0
-    """Load by others, by the last report."""
+    """Requests of other instances at the target, from the last report."""
 
     reported_at: float = -math.inf
-    """When the last report came."""
+    """When the last report arrived, in seconds."""
 
     holds: frozenset[catalog.Snapshot] = frozenset()
-    """Snapshots held, by the last report."""
+    """Snapshots held, from the last report, without those recently refused."""
 
     incarnation: str = ""
-    """Incarnation that the last report named."""
+    """Incarnation from the last report."""
 
     is_leaving: bool = False
-    """Whether this incarnation was ever said to be leaving; never unset for it."""
+    """Whether this incarnation was ever reported as leaving; sticky until the next incarnation."""
 
     is_cold: bool = False
-    """Whether the last report asked for a ramp."""
+    """Whether the last report asked for a gradual increase of load."""
 
     failures: int = 0
-    """Failures in a row to reach the target."""
+    """Consecutive failures to reach the target."""
 
     backoff_until: float = -math.inf
-    """Time before which it is not tried again."""
+    """Time before which it is not tried again, in seconds."""
 
     refused_snapshots: dict[catalog.Snapshot, float] = dataclasses.field(default_factory=dict)
-    """Snapshots that the target claims and yet refused, each with the time until which."""
+    """Snapshots that the target refused, each with the time until which it counts as not held."""
 
     progress_at: float = -math.inf
-    """Last sign of progress: a reply, or the first attempt after an idle time."""
+    """Time of the last progress, in seconds: a reply, or the first attempt after an idle period."""
 
     losses: int = 0
-    """Slow attempts given up since the target last replied."""
+    """Slow attempts abandoned since the target last replied."""
 
     ejected_until: float = -math.inf
-    """Time before which other replicas are preferred, because of the losses."""
+    """Time before which other replicas are preferred because of the losses, in seconds."""
 
     def load(self, now: float) -> float:
-        """Estimate the requests at the target.
+        """Estimate the number of requests at the target.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            Own attempts plus the aged load by others.
+            Own attempts plus the decayed load by others.
         """
         age = now - self.reported_at
         return self.in_flight + self.foreign_load * 0.5 ** (age / REPORT_HALF_LIFE)
 
     def is_stalled(self, now: float, stall_timeout: float) -> bool:
-        """Say whether work is under way without any sign of progress.
+        """Return whether the target appears stuck.
 
         Args:
-            now: The present, in seconds.
-            patience: Seconds without progress that are still usual.
+            now: Current time, in seconds.
+            stall_timeout: Seconds without progress after which a target with work in flight counts
+                as stalled.
 
         Returns:
-            True when the target looks stuck.
+            True while the target is ejected, or has attempts in flight without recent progress.
         """
         if self.ejected_until > now:
             return True
         return self.in_flight > 0 and now - self.progress_at > stall_timeout
 
     def on_started(self, now: float) -> None:
-        """Note an attempt handed to the target.
+        """Record the start of an attempt.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
         """
         if self.in_flight == 0:
             self.progress_at = now
         self.in_flight += 1
 
     def on_ended(self, now: float, is_progress: bool) -> None:
-        """Note that an attempt is over.
+        """Record the end of an attempt.
 
         Args:
-            now: The present, in seconds.
-            is_progress: Whether the target itself ended it.
+            now: Current time, in seconds.
+            is_progress: Whether the target itself completed it.
         """
         self.in_flight -= 1
         if is_progress:
@@ -168,10 +169,12 @@
             self.ejected_until = -math.inf
 
     def on_attempt_abandoned(self, now: float) -> None:
-        """Note that a slow attempt was given up, which hides a stall from `is_stalled`.
+        """Record that a slow attempt was abandoned, and eject the replica after several in a row.
+
+        Abandoned attempts are no longer in flight, which hides the stall from `is_stalled`.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
         """
         self.losses += 1
         if self.losses >= EJECT_AFTER_LOSSES:
@@ -179,10 +182,10 @@
             self.ejected_until = now + min(EJECTION_CAP_SECONDS, pause)
 
     def on_unreachable(self, now: float, rng: random.Random) -> None:
-        """Leave the target alone for a while, longer each time.
+        """Record a failure to reach the target and back off exponentially, with jitter.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
             rng: Source of the jitter.
         """
         self.failures += 1
@@ -190,20 +193,20 @@
         self.backoff_until = now + rest * (0.5 + rng.random() / 2)
 
     def on_snapshot_refused(self, now: float, snapshot: catalog.Snapshot) -> None:
-        """Believe the target's refusal over its reports for a while.
+        """Let a refusal by the target override its reports for a while.
 
         Args:
-            now: The present, in seconds.
-            snapshot: The snapshot that it refused, or did not answer from.
+            now: Current time, in seconds.
+            snapshot: Snapshot that it refused, or did not answer from.
         """
         self.refused_snapshots[snapshot] = now + SNAPSHOT_REFUSAL_SECONDS
         self.holds = self.holds - {snapshot}
 
     def on_report(self, now: float, report: StatusReport) -> None:
-        """Take in what the target says of itself.
+        """Apply a status report.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
             report: The report.
         """
         if report.incarnation != self.incarnation:
@@ -222,12 +225,12 @@
         self._note_load(now, report.busy + report.queue)
 
     def on_load(self, now: float, incarnation: str, requests: int) -> None:
-        """Take in what a target that tells nothing else says of its load.
+        """Apply a load report from a target that reports nothing else.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
             incarnation: Identity of its process.
-            requests: Those in work and those that wait.
+            requests: Number of requests running or queued.
         """
         if incarnation == self.incarnation:
             self._note_load(now, requests)
@@ -241,7 +244,7 @@
 
 
 def make_replica(target: catalog.Target) -> Replica:
-    """Start the view of a target.
+    """Create the view of a target.
 
     Args:
         target: The configured target.
@@ -255,34 +258,34 @@
 
 
 ChooseReplica: TypeAlias = "Callable[[Sequence[Replica], float, random.Random], Replica]"
-"""A rule that picks among replicas with room: (candidates, now, random source)."""
+"""Picks one of the replicas with spare capacity: (candidates, now, random source)."""
 
 
 def choose_random(candidates: Sequence[Replica], now: float, rng: random.Random) -> Replica:
-    """Pick any candidate.
+    """Pick a candidate at random.
 
     Args:
-        candidates: Replicas with room; at least one.
-        now: The present, in seconds.
+        candidates: Replicas with spare capacity; at least one.
+        now: Current time, in seconds.
         rng: Random source.
 
     Returns:
-        The pick.
+        The chosen replica.
     """
     del now
     return candidates[int(rng.random() * len(candidates))]
 
 
 def choose_least_loaded(candidates: Sequence[Replica], now: float, rng: random.Random) -> Replica:
-    """Pick a candidate with the least estimated load, by chance among equals.
+    """Pick the candidate with the least estimated load; ties are broken at random.
 
     Args:
-        candidates: Replicas with room; at least one.
-        now: The present, in seconds.
+        candidates: Replicas with spare capacity; at least one.
+        now: Current time, in seconds.
         rng: Random source.
 
     Returns:
-        The pick.
+        The chosen replica.
     """
     if len(candidates) == 1:
         return candidates[0]
@@ -290,30 +293,30 @@
 
 
 def choose_own_in_flight(candidates: Sequence[Replica], now: float, rng: random.Random) -> Replica:
-    """Pick a candidate with the fewest own attempts, ignoring reports.
+    """Pick the candidate with the fewest own attempts in flight, ignoring reports.
 
     Args:
-        candidates: Replicas with room; at least one.
-        now: The present, in seconds.
+        candidates: Replicas with spare capacity; at least one.
+        now: Current time, in seconds.
         rng: Random source.
 
     Returns:
-        The pick.
+        The chosen replica.
     """
     del now
     return min(candidates, key=lambda replica: (replica.in_flight, rng.random()))
 
 
 def choose_two_random(candidates: Sequence[Replica], now: float, rng: random.Random) -> Replica:
-    """Pick the less loaded of two candidates drawn by chance.
+    """Pick the less loaded of two random candidates.
 
     Args:
-        candidates: Replicas with room; at least one.
-        now: The present, in seconds.
+        candidates: Replicas with spare capacity; at least one.
+        now: Current time, in seconds.
         rng: Random source.
 
     Returns:
-        The pick.
+        The chosen replica.
     """
     if len(candidates) <= 2:
         return choose_least_loaded(candidates, now, rng)
@@ -326,18 +329,18 @@
     now: float,
     stall_timeout: float | None,
 ) -> list[Replica]:
-    """List the replicas that may get an attempt, never ejecting the last one.
+    """Return the replicas that may get an attempt, never excluding the last one for a stall.
 
     Args:
         replicas: All replicas of the service that this gatherer owns.
-        snapshot: The pinned snapshot, or None when any will do.
-        now: The present, in seconds.
-        patience: Seconds without progress after which a replica counts as stalled, or None to
-            pass over none.
+        snapshot: Pinned snapshot, or None for any.
+        now: Current time, in seconds.
+        stall_timeout: Seconds without progress after which a replica counts as stalled, or None to
+            ignore stalls.
 
     Returns:
-        Replicas that hold the snapshot, are not leaving and are not resting; stalled ones are
-        left out unless all are stalled.
+        Replicas that hold the snapshot, are not leaving and are not backing off. Stalled ones are
+        excluded unless all are stalled.
     """
     eligible = [
         replica
--- a/src/lineworks/decisions/suspects.py
+++ b/src/lineworks/decisions/suspects.py
@@ -1,13 +1,13 @@
-"""Requests under which targets ended, and what is done when such a request comes again.
+"""Detects requests that crash the targets that run them, and keeps them from further targets.
 
-A target that ends takes with it all that it was working on, so ends alone accuse the wrong ones: a
-search that began beside a fatal one loses as many targets. What is asked therefore becomes a
-*suspect* first: it runs on one target at a time. An answer from any target clears it. When a target
-ends again while the suspect ran there by itself, and several ends are proven by now, it is
-*refused* for a time that grows each time.
+A target that ends takes down every request that it was running, so an end alone would also
+implicate innocent requests: a search that started beside a fatal one loses as many targets. The
+request therefore becomes a *suspect* first and runs on one target at a time. An answer from any
+target clears it. When a target ends again during such a trial, and several ends are proven by then,
+the request is *refused* for a time that grows with each such trial.
 
-Records are merged from several instances in any order: ends are only added, and a higher epoch
-replaces a lower one.
+Records from several instances are merged in any order: ends are only added, and a record with a
+higher epoch replaces one with a lower epoch.
 """
 
 from __future__ import annotations
@@ -21,138 +21,140 @@
     from collections.abc import Iterable, Mapping
 
 MIN_PROVEN_ENDS = 3
-"""Proven ends from which on a request may be refused: fewer can be chance, and as many are borne
-before the platform's bound on such requests counts."""
+"""Number of proven ends from which a request may be refused: fewer can be coincidence, and as many
+are tolerated before the platform's limit on such requests applies."""
 
 REFUSE_SECONDS = (600.0, 3600.0, 86400.0)
 """Seconds for which a request is refused after its first, second and any later trial that ended a
-target. The first is the platform's longest lease, the last leaves a day to an operator; together
-with the first trial there are at most three before that."""
+target. The first is the platform's longest lease; the last gives an operator a day to act.
+Including the first trial there are at most three before that."""
 
 SUSPECT_SECONDS = 600.0
-"""Seconds for which a suspect is remembered after its last proven end."""
+"""Seconds for which a suspect is kept after its last end, or after a refusal has run out."""
 
 UNPROVEN_SECONDS = 10.0
-"""Seconds for which ends count that nobody could prove: a connection is refused within a round
-trip, and the entry of a target that ended is gone or another after some seconds."""
+"""Seconds for which unproven ends count. Proof comes sooner if there is any: a connection to a dead
+process is refused within a round trip, and its entry is gone or replaced after some seconds."""
 
 CLEARED_SECONDS = 60.0
-"""Seconds for which an answer clears what was asked: reports that are still on their way, or held
-up by a cut or an outage, must not accuse it. Later its targets or their data may be others."""
+"""Seconds for which an answer clears a request: reports that are in transit, or delayed by a
+network partition or an outage, must not make it a suspect again. Later it may run on other targets
+or on other data."""
 
 MAX_ANSWERED = 2048
-"""Fingerprints remembered at most of what was answered, some 0.4 MB. What many callers ask stays
-among them."""
+"""Maximum number of fingerprints of answered requests, about 0.4 MB. Requests that many callers
+send stay among them."""
 
 MIN_RESTART_SECONDS = 0.5
-"""Seconds between two ends of a target under the same identity: no process is back sooner, and what
-ended with it is noticed within a round trip."""
+"""Minimum time between two distinct ends of a target with the same identity, in seconds: no process
+restarts faster, and all requests that one end broke off notice it within a round trip."""
 
 DOWN_SECONDS = 3.0
-"""Seconds after a proven end in which a target can't end again: what breaks off there is a proxy
-with nobody behind it. Shorter than the time after which the platform's bound counts, so that a
-target that is back sooner costs no try beyond it."""
+"""Seconds after a proven end during which further ends of a target are ignored: a connection that
+breaks then belongs to a proxy without a target behind it. This is shorter than the time after which
+the platform's limit applies, so that a target that restarts sooner costs no attempt beyond it."""
 
 MAX_RECORDS = 256
-"""Requests remembered at most: some 100 KB. Requests that are fatal come from few callers."""
+"""Maximum number of records, about 100 KB. Fatal requests come from few callers."""
 
 MAX_ENDS = 8
-"""Ends of one request remembered at most; proven ones and those of trials go first."""
+"""Maximum number of ends per record; those of trials and proven ones are kept first."""
 
 
 class Judgement(enum.Enum):
-    """What is to be done with a request."""
+    """How to handle a request."""
 
     CLEAR = "clear"
-    """Nothing speaks against it."""
+    """It is not suspected: run it normally."""
 
     TRIAL = "trial"
-    """It is a suspect: send it to one target, and to others once that one has answered."""
+    """It is a suspect: send it to one target, and to others only after that one has answered."""
 
     REFUSE = "refuse"
-    """It ends the targets that run it: send it to none."""
+    """It crashes the targets that run it: send it to none."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetEnd:
-    """The end of a target while it ran a request."""
+    """The end of a target's process, or of the connection to it, while it ran a request."""
 
     target: str
-    """Identity of the target's process. One that is back under it may not be told apart yet."""
+    """Identity of the target's process. A restarted process with the same identity may not be
+    distinguishable yet."""
 
     attempt: str
-    """Identity of the try under which it ended."""
+    """Identity of the attempt during which it ended."""
 
     at: float
     """When it was noticed, in seconds."""
 
     is_trial: bool
-    """Whether the request ran there as a suspect, and nowhere else at the time."""
+    """Whether the request ran there on trial, and nowhere else at the time."""
 
     is_proven: bool = False
-    """Whether it is certain that the target ended, and not only the connection."""
+    """Whether the process is known to have ended, and not only the connection."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """What is known of one request."""
+    """What is known about one request."""
 
     content: str
-    """Fingerprint of what is asked."""
+    """Fingerprint of the request's content."""
 
     epoch: int
-    """Number of times that it was cleared or lifted: later knowledge has a higher one."""
+    """Number of times that it was cleared or lifted; newer records have a higher epoch."""
 
     ends: tuple[TargetEnd, ...] = ()
-    """Ends of targets under it."""
+    """Ends of targets while they ran it."""
 
     cleared_at: float | None = None
-    """When a target answered it, in seconds; None while none did."""
+    """When a target answered it, in seconds; None if none has."""
 
     @property
     def trials(self) -> int:
-        """Proven ends of trials."""
+        """Number of proven ends in trials."""
         return _count_distinct(end for end in self.ends if end.is_trial and end.is_proven)
 
     @property
     def proven(self) -> int:
-        """Proven ends."""
+        """Number of proven ends."""
         return _count_distinct(end for end in self.ends if end.is_proven)
 
     @property
     def last_at(self) -> float:
-        """When the last target ended, in seconds."""
+        """When the last target ended, in seconds; minus infinity without ends."""
         return max((end.at for end in self.ends), default=float("-inf"))
 
     @property
     def refused_until(self) -> float:
-        """Until when it is refused, in seconds; minus infinity where it isn't."""
+        """Time until which it is refused, in seconds; minus infinity if it is not refused."""
         if self.proven < MIN_PROVEN_ENDS or not self.trials:
             return float("-inf")
         times = min(self.trials, len(REFUSE_SECONDS))
         return self.last_at + REFUSE_SECONDS[times - 1]
 
     def judge(self, now: float) -> Judgement:
-        """Say what is to be done when it comes again.
+        """Decide how to handle the request when it arrives again.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            The judgement.
+            How to handle it.
         """
         if self.cleared_at is not None or not self.ends:
             return Judgement.CLEAR
         return Judgement.REFUSE if now < self.refused_until else Judgement.TRIAL
 
     def is_over(self, now: float) -> bool:
-        """Say whether it can be forgotten.
+        """Return whether the record has expired.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            Whether its time has passed.
+            True if it can be deleted.
         """
         if self.cleared_at is not None:
             return now >= self.cleared_at + CLEARED_SECONDS
@@ -160,19 +162,19 @@
 
     @property
     def retention_rank(self) -> tuple[bool, int, float]:
-        """What a full memory keeps it by: refused ones first, then by ends, then the latest."""
+        """Sort key for eviction, lowest first: proven in a trial, number of ends, latest end."""
         return bool(self.trials), len(self.ends), self.last_at
 
 
 class Suspects:
-    """The records of one instance."""
+    """The suspect records of one instance."""
 
     def __init__(self) -> None:
         self._records: dict[str, Record] = {}
-        # What a target answered lately, with the time, the latest last.
+        # Fingerprints of recently answered requests with the time, the latest last.
         self._answered: collections.OrderedDict[str, float] = collections.OrderedDict()
         self.forgotten = 0
-        """Records dropped because the memory was full."""
+        """Number of records evicted because the limit was reached."""
 
     @property
     def records(self) -> Mapping[str, Record]:
@@ -180,28 +182,28 @@
         return self._records
 
     def judge(self, content: str, now: float) -> Judgement:
-        """Say what is to be done with a request.
+        """Decide how to handle a request.
 
         Args:
             content: Its fingerprint.
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            The judgement.
+            How to handle it.
         """
         found = self._records.get(content)
         return found.judge(now) if found is not None else Judgement.CLEAR
 
     def is_down(self, target: str, attempt: str, now: float) -> bool:
-        """Say whether a target ended a moment ago, under any request, and so can't end again.
+        """Return whether a target has just ended, under any request, and so cannot end again yet.
 
         Args:
             target: Identity of the target.
-            attempt: Identity of the try that it broke off; its own end of it doesn't count.
-            now: The present, in seconds.
+            attempt: Identity of the attempt that broke off; an end noted for it does not count.
+            now: Current time, in seconds.
 
         Returns:
-            Whether that is proven.
+            Whether such an end is proven.
         """
         return any(
             end.target == target
@@ -215,17 +217,17 @@
     def note_ends(
         self, content: str, targets: Iterable[str], attempt: str, is_trial: bool, now: float
     ) -> Record | None:
-        """Note that targets broke off while no target had answered.
+        """Record that targets broke off a request that no target had answered.
 
         Args:
             content: Fingerprint of the request.
             targets: Identities of the targets.
-            attempt: Identity of the try.
-            is_trial: Whether it ran as a suspect.
-            now: The present, in seconds.
+            attempt: Identity of the attempt.
+            is_trial: Whether it ran on trial.
+            now: Current time, in seconds.
 
         Returns:
-            The record where something is new, else None.
+            The record if it changed, else None.
         """
         if self._is_answered(content, now):
             return None
@@ -241,16 +243,16 @@
         return self.merge(Record(content, epoch, ends), now)
 
     def note_proven(self, content: str, target: str, attempt: str, now: float) -> Record | None:
-        """Note that a target has really ended.
+        """Record proof that a target's process has ended.
 
         Args:
-            content: Fingerprint of a request that it broke off.
+            content: Fingerprint of the request that it broke off.
             target: Identity of the target.
-            attempt: Identity of the try under which it broke off.
-            now: The present, in seconds.
+            attempt: Identity of the attempt that it broke off.
+            now: Current time, in seconds.
 
         Returns:
-            The record where that is new, else None.
+            The record if it changed, else None.
         """
         known = self._records.get(content)
         if known is None or known.cleared_at is not None:
@@ -263,14 +265,14 @@
         return self.merge(Record(content, known.epoch, ends), now)
 
     def note_answer(self, content: str, now: float) -> Record | None:
-        """Note that a target answered a request: it doesn't end those that run it.
+        """Record that a target answered a request, which shows that it does not crash targets.
 
         Args:
             content: Its fingerprint.
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            The record where it was a suspect, else None.
+            The record if it was a suspect, else None.
         """
         self._answered[content] = now
         self._answered.move_to_end(content)
@@ -285,31 +287,31 @@
         return self.merge(Record(content, known.epoch + 1, cleared_at=now), now)
 
     def _is_answered(self, content: str, now: float) -> bool:
-        """Say whether a target answered it lately, also before any target ended under it."""
+        """Return whether a target answered it recently, even before any target ended under it."""
         at = self._answered.get(content)
         return at is not None and now < at + CLEARED_SECONDS
 
     def clear_if_answered(self, content: str, now: float) -> Record | None:
-        """Clear what another instance suspects and a target answered here lately.
+        """Clear a request that another instance suspects if a target has answered it here recently.
 
         Args:
             content: Fingerprint of the request.
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            The record where that is news, else None.
+            The record if it was cleared now, else None.
         """
         return self._clear(content, now) if self._is_answered(content, now) else None
 
     def lift(self, content: str, now: float) -> Record | None:
-        """Let a refused request have a trial again, whatever is known of it.
+        """Lift the refusal of a request, so that it gets another trial.
 
         Args:
             content: Its fingerprint.
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            The record, or None where it isn't refused.
+            The record, or None if it is not refused.
         """
         known = self._records.get(content)
         if known is None or known.judge(now) is not Judgement.REFUSE:
@@ -318,14 +320,14 @@
         return self.merge(Record(content, known.epoch + 1, ends), now)
 
     def merge(self, found: Record, now: float) -> Record | None:
-        """Take in what this or another instance knows of a request.
+        """Merge a record from this or another instance.
 
         Args:
-            found: The record; times may lie in the past.
-            now: The present, in seconds.
+            found: The record; its times may lie in the past.
+            now: Current time, in seconds.
 
         Returns:
-            The record as it is now where something is new, else None.
+            The merged record if it changed, else None.
         """
         known = self._records.get(found.content)
         if known is not None and known.is_over(now):
@@ -345,13 +347,13 @@
         return merged
 
     def expire(self, now: float) -> list[Record]:
-        """Forget what is over, and ends that could not be proven.
+        """Delete expired records, and ends that remained unproven for too long.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            Records that are no longer held.
+            The deleted records.
         """
         gone = []
         for content, record in list(self._records.items()):
@@ -374,7 +376,7 @@
 
 
 def _count_distinct(ends: Iterable[TargetEnd]) -> int:
-    """Count ends; those of one target that several tries saw at one moment count once."""
+    """Count distinct ends; one end of a target that several attempts saw counts once."""
     count = 0
     last: dict[str, float] = {}
     for end in sorted(ends, key=lambda end: end.at):
@@ -385,7 +387,7 @@
 
 
 def _merge_ends(known: Iterable[TargetEnd], found: Iterable[TargetEnd]) -> tuple[TargetEnd, ...]:
-    """Put ends together: each target once a try, the earliest report, proven if any says so."""
+    """Merge ends by target and attempt: keep the known one, proven if either is proven."""
     ends = {(end.target, end.attempt): end for end in known}
     for end in found:
         key = (end.target, end.attempt)
--- a/src/lineworks/decisions/target_evidence.py
+++ b/src/lineworks/decisions/target_evidence.py
@@ -1,15 +1,15 @@
-"""What the instances of a data hall tell each other of slow and vanished targets.
-
-Load pattern: 15 of 100 targets turn slow at once, and one of 195 instances sends each of them a
-request in many seconds. Alone it finds out by being late; together the hall knows within half a
-second, and first attempts go elsewhere.
-
-A report is evidence, never a verdict. It makes a target count as slower when one is chosen, and no
-target is passed over for it, so a hall that calls all its targets slow still uses all of them. It
-counts only when two instances say so, further apart than a pause of a target lasts, which keeps one
-instance with a bad link and a target that paused from drawing the others along. An instance that
-calls most targets slow is slow itself, and is not heeded. What an instance sees later by itself
-goes before all that it was told.
+"""Combines what the instances of a data hall report about slow and replaced targets.
+
+Each of 195 instances sends a given target only one request in many seconds. When 15 of 100 targets
+turn slow at once, an instance alone notices only through late requests; sharing observations, the
+hall knows within half a second, and first attempts go to other targets.
+
+A report only makes a target count as slower when one is chosen; it never excludes a target, so a
+hall that reports all its targets as slow still uses all of them. A target is believed to be slow
+only when two instances report it, over a longer time than a target's pause lasts. This keeps one
+instance with a bad link, or a target that paused, from misleading the others. Reports by an
+instance that calls most targets slow are ignored, as it is probably slow itself. An instance's own
+later observations take precedence over everything that it was told.
 """
 
 from __future__ import annotations
@@ -24,66 +24,67 @@
 _Value = TypeVar("_Value")
 
 MIN_SLOW_SECONDS = 0.3
-"""Seconds that must lie between the reports on a target that is called slow: more than the pauses
-that targets make, which are over by then."""
+"""Seconds that the reports on a slow target must span: longer than a pause of a target, so that a
+paused target is not taken for a slow one."""
 
 CONFIRM_WINDOW_SECONDS = 2.0
-"""Seconds within which they must come: two pauses of a sound target lie further apart."""
+"""Window within which the reports must arrive, in seconds: two pauses of a healthy target are
+further apart."""
 
 MIN_ORIGINS = 2
-"""Instances that must say so, this one included."""
+"""Number of instances that must report a target as slow, including this one."""
 
 BELIEF_SECONDS = 6.0
-"""Seconds after which a target is not believed to be slow any more unless it is called so again:
-three half-lives of what is known of a target."""
+"""Seconds after which a belief that a target is slow expires unless it is confirmed again: three
+half-lives of the statistics about a target."""
 
 MAX_FACTOR = 10.0
-"""Multiple of the usual time that a report can claim."""
+"""Cap on the multiple of the usual time that a report can claim."""
 
 SLOW_FACTOR = 3.0
-"""Multiple of the usual time from which on an answer is worth telling: one in a hundred answers of
-a sound target takes longer."""
+"""Multiple of the usual time from which an answer is reported as slow: one in a hundred answers of
+a healthy target takes longer."""
 
 FAST_FACTOR = 1.5
-"""Multiple of the usual time up to which an answer shows that a target is well."""
+"""Multiple of the usual time up to which an answer shows that a target is healthy."""
 
 MAX_SLOW_SHARE = 0.5
-"""Part of all targets that an instance may call slow before it is not heeded."""
+"""Share of all targets that an instance may report as slow before its reports are ignored."""
 
 MIN_SLOW_LIMIT = 8
-"""Targets that it may call slow in any case."""
+"""Number of targets that it may always report as slow."""
 
 
 class Kind(enum.IntEnum):
-    """What an instance saw of a target."""
+    """Kinds of observations of a target."""
 
     SLOW = 0
-    """It took a multiple of its usual time, or could not be reached."""
+    """It took a multiple of its usual time, or was unreachable."""
 
     WELL = 1
-    """It was called slow and answered in its usual time."""
+    """It was reported as slow and has now answered in its usual time."""
 
     GONE = 2
-    """Another process has its address."""
+    """Another process now listens on its address."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """What an instance saw of one target."""
+    """What an instance observed of one target."""
 
     target: str
     """Identity of the target's process."""
 
     kind: Kind
-    """What was seen."""
+    """Kind of the observation."""
 
     factor: float = 0.0
-    """Multiple of the usual time that a slow one took."""
+    """For a slow target, the multiple of its usual time that it took."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slowness:
-    """What is believed of a slow target."""
+    """Belief that a target is slow."""
 
     factor: float
     """Multiple of the usual time that it takes."""
@@ -94,7 +95,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Report:
-    """What one instance said of one target lately."""
+    """Recent reports of one instance on one target."""
 
     factor: float
     first: float
@@ -102,34 +103,34 @@
 
 
 class TargetEvidence:
-    """Reports by target and origin, and what is believed for them.
+    """Holds the reports by target and origin, and the beliefs derived from them.
 
-    What is believed is worked out when a report comes: a search looks at hundreds of targets.
+    Beliefs are computed when a report arrives, as a search looks up hundreds of targets.
     """
 
     def __init__(self) -> None:
         self._reports: dict[str, dict[str, _Report]] = {}
         self._beliefs: dict[str, Slowness] = {}
-        # By origin the targets that it called slow, with the time of the last report.
+        # By origin: the targets that it reported as slow, with the time of the last report.
         self._slow_by_origin: dict[str, dict[str, float]] = {}
         self.targets = 0
-        """Targets known, of which an instance may call a part slow."""
+        """Number of known targets; an instance may report a share of them as slow."""
 
     @property
     def has_beliefs(self) -> bool:
-        """Whether anything is believed of any target."""
+        """Whether there is a belief about any target."""
         return bool(self._beliefs)
 
     def note(self, observation: Observation, origin: str, at: float) -> bool:
-        """Take in what an instance saw of a target.
+        """Apply an observation of a target by an instance.
 
         Args:
-            sighting: What it saw.
+            observation: The observation.
             origin: Name of the instance.
-            at: When it was seen, in seconds.
+            at: When it was made, in seconds.
 
         Returns:
-            Whether something is believed anew of the target, or not any more.
+            Whether the belief about the target was set, renewed or removed.
         """
         target = observation.target
         if observation.kind is Kind.SLOW:
@@ -142,11 +143,11 @@
         return was_slow or observation.kind is Kind.GONE
 
     def believe(self, observation: Observation, at: float) -> None:
-        """Take over what is believed of a target, by several reports.
+        """Set the belief about a target directly, without counting reports.
 
         Args:
-            sighting: How it does.
-            at: When this was told, in seconds.
+            observation: State of the target.
+            at: When this was received, in seconds.
         """
         if observation.kind is Kind.WELL:
             self._beliefs.pop(observation.target, None)
@@ -156,7 +157,7 @@
         self._beliefs[observation.target] = Slowness(factor, at)
 
     def has_slow_reports(self, target: str) -> bool:
-        """Say whether a target is believed to be slow, or is called so by an instance.
+        """Return whether a target is believed or reported to be slow.
 
         Args:
             target: Identity of its process.
@@ -167,14 +168,14 @@
         return target in self._reports or target in self._beliefs
 
     def slowness(self, target: str, now: float) -> Slowness | None:
-        """Tell how slow a target is believed to be.
+        """Return how slow a target is believed to be.
 
         Args:
             target: Identity of its process.
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            The belief, or None when there is not enough evidence.
+            The belief, or None without one or when it has expired.
         """
         belief = self._beliefs.get(target)
         if belief is None or now - belief.at > BELIEF_SECONDS:
@@ -182,10 +183,10 @@
         return belief
 
     def forget_absent(self, present: set[str]) -> None:
-        """Forget targets that are not there any more.
+        """Discard all data on targets that are gone.
 
         Args:
-            present: Identities of those that are.
+            present: Identities of the remaining targets.
         """
         self.targets = len(present)
         self._reports = _only_present(self._reports, present)
@@ -209,7 +210,7 @@
         return True
 
     def _is_confirmed(self, reports: dict[str, _Report], now: float) -> bool:
-        """Say whether enough instances call a target slow, for longer than a pause."""
+        """Return whether enough instances report a slow target, over more than a pause."""
         late = [origin for origin in reports if now - reports[origin].last > CONFIRM_WINDOW_SECONDS]
         for origin in late:
             del reports[origin]
@@ -217,7 +218,7 @@
         return len(reports) >= MIN_ORIGINS and now - first >= MIN_SLOW_SECONDS
 
     def _is_credible(self, target: str, origin: str, at: float) -> bool:
-        """Note whom an instance calls slow, and say whether these are not too many."""
+        """Record that an instance reports a target as slow; return whether its reports count."""
         called = self._slow_by_origin.setdefault(origin, {})
         called[target] = at
         most = max(MIN_SLOW_LIMIT, MAX_SLOW_SHARE * self.targets)
--- a/src/lineworks/decisions/target_view.py
+++ b/src/lineworks/decisions/target_view.py
@@ -1,11 +1,11 @@
-"""Which targets there are, by the entries that they keep on the platform.
-
-The view is fed from snapshots and from changes, in any order; the position of each entry decides
-which is newer. An entry that is gone means that its target takes no new work. After an outage of
-the platform entries may be missing only because they could not be renewed, so their removal waits
-until their targets had time to come back. After the store's return from an older copy entries of
-targets that had left may be there again; they are doubted until somebody writes them anew, or until
-the entries of targets that have ended would be gone.
+"""Tracks the targets by the entries that they maintain in the platform's store.
+
+Updates arrive as full listings and as changes, in any order; the position of each entry decides
+which is newer. A target whose entry is gone takes no new work. After a store outage entries may be
+missing only because they could not be renewed, so their removal is held until their targets have
+had time to renew them. After the store was restored from an older copy, entries of targets that had
+left may reappear; they are doubted, that is, not used, until they are written again, or until the
+entries of dead targets would have expired.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
     from collections.abc import Iterable, Mapping
 
 REMOVAL_GRACE_SECONDS = 2.3
-"""Seconds after the platform's return in which a missing entry proves nothing: targets that live
-renew theirs within about two seconds, and a call takes some time."""
+"""Seconds after the store is available again during which a missing entry is not removed: running
+targets renew their entries within about two seconds, and a call takes some time."""
 
 DOUBT_SECONDS = 5.0
-"""Seconds for which an entry that an older copy brought back is not believed: the entry of a target
-that has ended goes after three missed heartbeats, which come somewhat more than a second apart."""
+"""Seconds for which an entry that reappeared from an older copy is not used: the entry of a dead
+target expires after three missed heartbeats, which are slightly more than a second apart."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetEntry:
-    """What a target says of itself on the platform."""
+    """The entry that a target maintains in the store."""
 
     id: str
-    """Identity of the target, which its next process may have again."""
+    """Identity of the target; a restarted process may have the same one."""
 
     service: str
-    """Service that it serves."""
+    """Name of the service that it provides."""
 
     hall: str
-    """Data hall that it stands in."""
+    """Data hall in which it runs."""
 
     host: str
     """IP address."""
@@ -48,21 +48,21 @@
     """TCP port."""
 
     slots: int
-    """Requests that it works on at once."""
+    """Maximum number of concurrent requests."""
 
     is_leaving: bool
-    """Whether it asks for no new work."""
+    """Whether it is draining and takes no new work."""
 
     is_cold: bool
     """Whether it has just started and is slow."""
 
     born: int = 0
-    """Unix millisecond of the start of the process: with it, two processes of the same identity are
-    told apart. 0 where it isn't told."""
+    """Start time of the process in Unix milliseconds, which distinguishes processes with the same
+    identity; 0 if unknown."""
 
     @property
     def process_key(self) -> str:
-        """Identity of this process among all that had or will have its identity."""
+        """Key of this process, unique among all processes with the same target identity."""
         return f"{self.id}@{self.born}" if self.born else self.id
 
 
@@ -71,45 +71,45 @@
     """A change of one entry."""
 
     id: str
-    """Identity of the target's process."""
+    """Identity of the target."""
 
     position: positions.Position
     """Position of the change."""
 
     entry: TargetEntry | None
-    """The entry, or None when it is gone."""
+    """The entry, or None if it is gone."""
 
 
 class UnsettledReason(enum.Enum):
-    """Why an entry is not settled."""
+    """Why it is still uncertain whether an entry is valid."""
 
     HELD = "held"
-    """It is missing and still used: it may come back."""
+    """It is missing from the store but still used, as it may return."""
 
     DOUBTED = "doubted"
-    """It was gone, the store's older copy has it again, and it is not used yet."""
+    """It had been removed, reappeared from an older copy of the store, and is not used yet."""
 
     LEAVING = "leaving"
-    """Its target had asked for no new work, which the store's older copy does not tell."""
+    """Its target is draining, which the older copy of the store does not show."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unsettled:
-    """An entry of which it will be known later whether it holds."""
+    """An entry whose validity is uncertain for a while."""
 
     change: TargetChange
-    """The entry, with the position that it was read under."""
+    """The entry, with the position at which it was read."""
 
     reason: UnsettledReason
-    """Why it is not settled."""
+    """Why it is unsettled."""
 
     seconds: float = 0.0
-    """Seconds until it is settled, unless something is heard of it."""
+    """Seconds until it is settled, unless an update arrives first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Doubted:
-    """An entry that was gone and that the store's older copy has again."""
+    """An entry that had been removed and reappeared from an older copy of the store."""
 
     change: TargetChange
     until: float
@@ -118,16 +118,16 @@
 def effective_changes(
     known: Mapping[str, TargetEntry], changes: Iterable[TargetChange]
 ) -> list[TargetChange]:
-    """Leave out changes that bring nothing new after what was known and the changes before them.
+    """Filter out changes that repeat the known entry or an earlier change.
 
     Args:
         known: The entries before the changes, by identity.
-        changes: The changes, in their order.
+        changes: The changes, in order.
 
     Returns:
-        Those that change an entry, and all removals: without that of an entry that came with the
-        same changes, or that only peers had, these kept a target that had left, and sent it
-        requests.
+        Changes that alter an entry, and all removals. A removal is kept even if the entry came
+        with the same changes or was known only to peers: without it, peers kept a target that had
+        left and sent it requests.
     """
     present: dict[str, TargetEntry | None] = dict(known)
     found = []
@@ -139,7 +139,7 @@
 
 
 class TargetView:
-    """The entries as one instance knows them."""
+    """The target entries, as known to one instance."""
 
     def __init__(self) -> None:
         self._entries: dict[str, TargetEntry] = {}
@@ -147,10 +147,10 @@
         self._doubted: dict[str, _Doubted] = {}
         self._removals: dict[str, float] = {}
         self._leaving: set[str] = set()
-        # By identity, when the latest process known to have it was born.
+        # By identity: start time of the latest known process.
         self._born: dict[str, int] = {}
         self.position = positions.ABSENT
-        """Position up to which every change is known."""
+        """Position up to which all changes are known."""
 
     @property
     def entries(self) -> Mapping[str, TargetEntry]:
@@ -158,7 +158,7 @@
         return self._entries
 
     def confirmed_entries(self) -> dict[str, TargetEntry]:
-        """List the entries that no removal is pending for.
+        """Return the entries without a pending removal.
 
         Returns:
             Entries by identity.
@@ -166,14 +166,15 @@
         return {name: e for name, e in self._entries.items() if name not in self._removals}
 
     def apply(self, changes: Iterable[TargetChange], hold_until: float) -> bool:
-        """Take in changes.
+        """Apply changes.
 
         Args:
             changes: The changes.
-            hold_until: Time before which missing entries are kept; 0 for no such time.
+            hold_until: Time before which removed entries are kept, in seconds; 0 to remove them at
+                once.
 
         Returns:
-            Whether an entry changed in more than its position.
+            Whether an entry was added, removed or changed in more than its position.
         """
         is_changed = False
         for change in changes:
@@ -195,18 +196,19 @@
         doubt_until: float = 0.0,
         held: Mapping[str, float] | None = None,
     ) -> bool:
-        """Take in all entries as they were at one position.
+        """Apply a full listing; entries that changed after its position are kept.
 
         Args:
-            entries: All entries.
-            position: The position.
-            hold_until: Time before which missing entries are kept; 0 for no such time.
-            doubt_until: Time before which entries that were gone are not believed if the store came
-                back from an older copy.
-            held: By identity, the times before which certain missing entries are kept.
+            entries: All entries at the position.
+            position: Position of the listing.
+            hold_until: Time before which removed entries are kept, in seconds; 0 to remove them at
+                once.
+            doubt_until: Time before which entries that reappeared from an older copy of the store
+                are not used, in seconds.
+            held: Overrides `hold_until` for some entries, by identity.
 
         Returns:
-            Whether an entry changed in more than its position.
+            Whether an entry was added, removed or changed in more than its position.
         """
         held = held or {}
         listed = list(entries)
@@ -222,9 +224,9 @@
         return is_changed
 
     def _without_doubted(self, listed: list[TargetChange], until: float) -> list[TargetChange]:
-        """Set the entries aside that were known to be gone before the store's return.
+        """Set aside the entries that were known to be gone before the store was restored.
 
-        Requests would go to targets that had left for good: the copy is older than their leaving.
+        The older copy still has entries of targets that left for good; requests would go to them.
         """
         doubted = [
             change
@@ -240,18 +242,18 @@
         return [change for change in listed if change.id not in names]
 
     def _is_gone_since(self, era: int, name: str) -> bool:
-        """Say whether an entry was known to be gone before an era began."""
+        """Return whether an entry was known to be gone before an era began."""
         known = self._positions.get(name)
         return known is not None and name not in self._entries and known.era < era
 
     def expire(self, now: float) -> bool:
-        """Carry out the removals whose time has come.
+        """Carry out the held removals that are due.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            Whether an entry went.
+            Whether there was one.
         """
         due = [name for name, at in self._removals.items() if at <= now]
         for name in due:
@@ -260,13 +262,13 @@
         return bool(due)
 
     def accept_doubted(self, now: float) -> bool:
-        """Take in the doubted entries that are still there when dead targets' entries have gone.
+        """Use the doubted entries that still exist after those of dead targets would have expired.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            Whether an entry is used from now on.
+            Whether there was one.
         """
         due = [found.change for found in self._doubted.values() if found.until <= now]
         for change in due:
@@ -276,7 +278,7 @@
         return bool(due)
 
     def all_changes(self) -> list[TargetChange]:
-        """List all entries that no removal is pending for, for a peer that knows nothing."""
+        """Return all entries without a pending removal, for a peer that has just started."""
         return [self._as_change(name) for name in self._entries if name not in self._removals]
 
     def _as_change(self, name: str) -> TargetChange:
@@ -284,13 +286,13 @@
         return TargetChange(name, position, self._entries[name])
 
     def unsettled(self, now: float) -> list[Unsettled]:
-        """List the entries that are not settled, for a peer that is given all entries.
+        """Return the unsettled entries, for a peer that is sent all entries.
 
         Args:
-            now: The present, in seconds.
+            now: Current time, in seconds.
 
         Returns:
-            The entries.
+            The held and the doubted entries.
         """
         held = [
             Unsettled(self._as_change(name), UnsettledReason.HELD, until - now)
@@ -304,14 +306,14 @@
         return held + doubted
 
     def corrections(self, listed: Iterable[TargetChange], now: float) -> list[Unsettled]:
-        """Find what is known better than a peer that lists entries: it may have just started.
+        """Return what is missing in the listing of a peer, which may have just started.
 
         Args:
-            listed: What the peer lists.
-            now: The present, in seconds.
+            listed: Entries that the peer lists.
+            now: Current time, in seconds.
 
         Returns:
-            Of those the entries that are doubted here, and those whose targets are leaving.
+            Those of the entries that are doubted here or whose targets are leaving.
         """
         used = {c.id for c in listed if c.entry is not None and not c.entry.is_leaving}
         doubted = [
@@ -326,11 +328,11 @@
         return doubted + leaving
 
     def apply_unsettled(self, found: Iterable[Unsettled], now: float) -> bool:
-        """Hold up, doubt and leave alone what a peer does, unless more is known here.
+        """Apply the unsettled entries of a peer, unless newer information is known here.
 
         Args:
-            found: What is not settled at the peer.
-            now: The present, in seconds.
+            found: Unsettled entries of the peer.
+            now: Current time, in seconds.
 
         Returns:
             Whether an entry changed.
@@ -349,7 +351,7 @@
             return self._put(dataclasses.replace(change.entry, is_leaving=True))
         if one.reason is UnsettledReason.HELD:
             if change.id in self._positions:
-                # Known here, and held or gone by what is known here.
+                # Already known here; the local state decides whether it is held or gone.
                 return False
             self._positions[change.id] = change.position
             self._removals[change.id] = now + one.seconds
@@ -363,10 +365,10 @@
     def _put(self, entry: TargetEntry) -> bool:
         born = self._born.get(entry.id, 0)
         if entry.born < born:
-            # Told late of an earlier process: the later one has its identity.
+            # A late update about an earlier process with the same identity.
             return False
         if entry.born > born:
-            # Another process, which nothing holds of that was known of the one before.
+            # A new process: nothing known about the previous one applies to it.
             self._born[entry.id] = entry.born
             self._leaving.discard(entry.id)
         self._removals.pop(entry.id, None)
