--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -1,4 +1,4 @@
-"""A cold target gets no more a second than allowed, from all instances together."""
+"""The request rate to a cold target is limited over all instances together."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 BOUND = cold_targets.ColdBound(1.5, 5.0)
 
 
-def greatest(times, window=1.0):
-    """Count the most arrivals within any second."""
+def max_in_window(times, window=1.0):
+    """Return the maximum number of arrivals within any window."""
     times = sorted(times)
     most = first = 0
     for last, at in enumerate(times):
@@ -28,15 +28,15 @@
 
 @pytest.mark.parametrize("seed", range(40))
 @pytest.mark.parametrize("count", [1, 2, 7, 20, 60, 195])
-def test_all_instances_together_stay_below_the_bound_whatever_each_knows(seed, count):
+def test_all_instances_together_stay_below_the_limit_with_any_membership_view(seed, count):
     rng = random.Random(f"{seed}/{count}")
     names = [f"n{number}" for number in range(count)]
     rate = rng.choice([0.5, 2.0, 10.0, 40.0])
     allowances = []
     for name in names:
         allowance = cold_targets.ColdAllowance(name, BOUND)
-        # Behind a cut, after a start or a freeze an instance knows some names, or none at all; the
-        # number that it counts covers all that may live, or is unknown.
+        # After a network partition, a start or a freeze an instance knows only some names, or none;
+        # its count covers all instances that may be running, or is unknown.
         seen = rng.sample(names, rng.randint(0, count))
         known = rng.choice([0, count, count, count + rng.randint(0, 40)])
         allowance.note_instances(seen, 0.0)
@@ -49,11 +49,11 @@
             if rng.random() < 0.5 and allowance.may_send("t", rate, now):
                 allowance.note_sent("t", now)
                 sent.append(now)
-    assert greatest(sent) <= rate * 1.5 + 5
+    assert max_in_window(sent) <= rate * 1.5 + 5
 
 
 @pytest.mark.parametrize("count", [1, 7, 60])
-def test_instances_that_know_each_other_use_most_of_it(count):
+def test_instances_that_know_each_other_use_most_of_the_limit(count):
     names = [f"n{number}" for number in range(count)]
     shares = []
     for name in names:
@@ -104,7 +104,7 @@
     return replies
 
 
-def test_warm_copies_are_asked_in_place_of_cold_ones():
+def test_warm_replicas_are_preferred_to_cold_ones():
     world = build()
     shelf = test_forwarding.targets_of(world, "shelf")
     announce_cold(world, shelf[0], True)
@@ -115,7 +115,7 @@
     assert sum(reply.status == 200 for reply in replies) > 0.9 * len(replies)
 
 
-def test_where_all_copies_are_cold_none_gets_more_than_allowed_and_the_rest_is_refused():
+def test_if_all_replicas_are_cold_each_stays_below_the_limit_and_excess_requests_are_refused():
     world = build()
     shelf = test_forwarding.targets_of(world, "shelf")
     for target in shelf:
@@ -125,12 +125,12 @@
     replies = load(world, 4.0)
     assert {reply.status for reply in replies} == {200, 503}
     for times in arrivals.values():
-        assert 0 < greatest(times) <= 4.0 * 1.5 + 5
+        assert 0 < max_in_window(times) <= 4.0 * 1.5 + 5
     refused = [reply for reply in replies if reply.status == 503]
     assert all(reply.seconds < 0.2 for reply in refused)
 
 
-def test_a_hall_that_returns_from_an_evacuation_counts_as_cold_before_its_entries_say_so():
+def test_a_hall_counts_as_cold_after_an_evacuation_before_its_entries_say_so():
     world = build()
     world.evacuate("akl")
     world.run(5.0)
@@ -138,13 +138,13 @@
     mine = [target for target in test_forwarding.targets_of(world, "shelf") if target.hall == "akl"]
     arrivals = note_arrivals(world, "shelf")
     load(world, 4.0)
-    assert greatest(arrivals[mine[0].name]) <= 4.0 * 1.5 + 5
+    assert max_in_window(arrivals[mine[0].name]) <= 4.0 * 1.5 + 5
     world.run(4.0)
     load(world, 1.0)
     assert arrivals[mine[0].name]
 
 
-def test_services_that_tell_no_rate_are_not_bounded():
+def test_services_that_report_no_rate_are_not_limited():
     world = build(rate=0.0)
     shelf = test_forwarding.targets_of(world, "shelf")
     for target in shelf:
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize(
     ("value", "seconds"), [(b"1500", 1.5), (b"0", 0.0), (b"", None), (b"-1", None), (b"x", None)]
 )
-def test_the_time_that_a_target_stays_cold_is_read_from_its_answers(value, seconds):
+def test_the_remaining_warm_up_time_is_parsed_from_the_response_headers(value, seconds):
     assert headers.read_cold_seconds({b"x-warmup-left": value}) == seconds
 
 
@@ -174,5 +174,5 @@
         (b"1,0,2,\xb2", None),
     ],
 )
-def test_the_pace_is_read_where_it_is_a_sound_number(value, pace):
+def test_the_pace_is_parsed_only_if_it_is_a_valid_number(value, pace):
     assert headers.read_load({b"x-server-load": value}).pace == pace
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""The targets of an evacuated data hall get nothing new until the operators take that back."""
+"""The targets of an evacuated data hall get no new work until the operators end the evacuation."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests import test_forwarding
 
 BOUND = 5.0
-"""Seconds after the store's answer from which nothing more may arrive."""
+"""Seconds after the store's answer from which no new request may arrive."""
 
 
 def ask_all(world, seconds=1.0, path="/search/q"):
-    """Ask every instance, and return the replies with the halls of the targets that ran them."""
+    """Send a request to every instance; return the replies and the halls whose targets ran them."""
     began = len(world.runs)
     replies = {name: world.ask(name, path) for name in world.nodes}
     world.run(seconds)
@@ -23,23 +23,23 @@
     return replies, halls
 
 
-def assert_spared(world, *halls):
+def assert_not_reached(world, *halls):
     for path in ("/search/q", "/read/q"):
         replies, reached = ask_all(world, path=path)
         assert {reply.status for reply in replies.values()} == {200}, path
         assert reached.isdisjoint(halls), path
 
 
-def test_nothing_new_goes_to_an_evacuated_hall_after_the_bound_from_any_instance():
+def test_no_instance_sends_new_work_to_an_evacuated_hall_after_the_time_limit():
     world = test_forwarding.build()
     world.evacuate("akl")
     world.run(BOUND)
-    assert_spared(world, "akl")
+    assert_not_reached(world, "akl")
     world.run(20.0)
-    assert_spared(world, "akl")
+    assert_not_reached(world, "akl")
 
 
-def test_the_hall_is_used_again_once_that_is_taken_back():
+def test_the_hall_is_used_again_after_the_evacuation_ends():
     world = test_forwarding.build()
     world.evacuate("akl")
     world.run(BOUND)
@@ -49,7 +49,7 @@
     assert "akl" in halls
 
 
-def test_two_halls_at_once_and_one_back():
+def test_of_two_evacuated_halls_one_can_return():
     world = test_forwarding.build()
     world.evacuate("akl")
     world.evacuate("wlg")
@@ -58,11 +58,11 @@
     assert halls == {"chc"}
     world.end_evacuation("wlg")
     world.run(BOUND)
-    assert_spared(world, "akl")
+    assert_not_reached(world, "akl")
 
 
-def test_without_enough_shards_elsewhere_a_search_is_refused_at_once_as_not_run():
-    # Half of the shards have copies in these two halls only, and an answer needs three quarters.
+def test_a_search_without_enough_shards_elsewhere_is_refused_at_once():
+    # Half of the shards have replicas in these two halls only; an answer needs three quarters.
     world = test_forwarding.build()
     world.evacuate("akl")
     world.evacuate("wlg")
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("is_store_down", [False, True])
-def test_an_instance_that_starts_obeys_before_it_serves(is_store_down):
+def test_a_starting_instance_applies_evacuations_before_it_serves(is_store_down):
     world = test_forwarding.build()
     world.evacuate("akl")
     world.run(BOUND)
@@ -88,7 +88,7 @@
     assert {reply.status for reply in replies.values()} == {200}
 
 
-def test_an_instance_that_was_cut_off_obeys_once_it_is_back():
+def test_a_partitioned_instance_applies_evacuations_after_it_reconnects():
     world = test_forwarding.build()
     alone = world.address_of("wlg-1")
     others = [world.address_of(name) for name in world.nodes if name != "wlg-1"]
@@ -99,30 +99,30 @@
     world.run(8.0)
     world.network.heal()
     world.run(BOUND)
-    assert_spared(world, "akl")
+    assert_not_reached(world, "akl")
 
 
-def test_a_frozen_instance_obeys_once_it_is_awake():
+def test_a_frozen_instance_applies_evacuations_after_it_resumes():
     world = test_forwarding.build()
     world.host_of("wlg-1").freeze()
     world.evacuate("akl")
     world.run(6.0)
     world.host_of("wlg-1").wake()
     world.run(BOUND)
-    assert_spared(world, "akl")
+    assert_not_reached(world, "akl")
 
 
-def test_it_holds_through_an_outage_of_the_store():
+def test_an_evacuation_survives_a_store_outage():
     world = test_forwarding.build()
     world.evacuate("akl")
     world.run(BOUND)
     world.server.faults.is_down = True
     world.run(15.0)
-    assert_spared(world, "akl")
+    assert_not_reached(world, "akl")
 
 
 @pytest.mark.parametrize("is_end_lost", [False, True])
-def test_a_lost_history_hides_neither_its_beginning_nor_its_end(is_end_lost):
+def test_a_compacted_store_history_hides_neither_start_nor_end_of_an_evacuation(is_end_lost):
     world = test_forwarding.build()
     if is_end_lost:
         world.evacuate("akl")
@@ -136,7 +136,7 @@
     assert ("akl" in halls) is is_end_lost
 
 
-def test_attempts_under_way_go_on_and_hedges_go_elsewhere():
+def test_attempts_in_flight_continue_without_a_retry():
     world = test_forwarding.build(work=lambda: 6.0)
     world.configure(
         [{**test_forwarding.READ, "TimeoutMs": 9000, "SloMs": 9000, "AllowedRegions": ["akl"]}]
@@ -150,7 +150,7 @@
     assert len(world.runs_of("q")) == 1
 
 
-def test_it_holds_while_targets_come_and_go_and_the_configuration_changes():
+def test_an_evacuation_holds_while_targets_and_the_configuration_change():
     world = test_forwarding.build()
     world.evacuate("akl")
     world.run(1.0)
@@ -161,10 +161,10 @@
         world.announce(target, "draining")
     world.configure([test_forwarding.SEARCH, test_forwarding.READ])
     world.run(BOUND)
-    assert_spared(world, "akl")
+    assert_not_reached(world, "akl")
 
 
-def test_a_hall_that_does_not_exist_changes_nothing():
+def test_evacuating_an_unknown_hall_changes_nothing():
     world = test_forwarding.build()
     world.evacuate("nowhere")
     world.evacuate("")
@@ -187,14 +187,14 @@
 
 
 @pytest.mark.parametrize("order", itertools.permutations(ORDERED))
-def test_the_latest_change_decides_in_whatever_order_they_come(order):
+def test_the_latest_change_decides_in_any_order_of_arrival(order):
     found = evacuations.Evacuations()
     for change in order:
         found.apply([change, change])
     assert found.halls == {"a", "b"}
 
 
-def test_a_listing_takes_back_only_what_it_is_newer_than():
+def test_a_listing_ends_only_evacuations_older_than_itself():
     found = evacuations.Evacuations()
     found.apply(ORDERED)
     assert not found.replace([], at(3), 0.0)
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""Replica choice, reports and ejection."""
+"""Replica choice, status reports and ejection."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
     assert replicas.usable([replica], HELD, 9.0, 1.0) == [replica]
 
 
-def test_a_stalled_replica_is_passed_over_for_another():
-    stalled, lively = make("a"), make("b")
+def test_a_stalled_replica_is_skipped_if_there_is_another():
+    stalled, responsive = make("a"), make("b")
     stalled.on_started(0.0)
-    assert replicas.usable([stalled, lively], HELD, 9.0, 1.0) == [lively]
+    assert replicas.usable([stalled, responsive], HELD, 9.0, 1.0) == [responsive]
 
 
-def test_slow_attempts_given_up_make_a_suspect_until_it_replies():
+def test_abandoned_slow_attempts_eject_a_replica_until_it_replies():
     replica, other = make("a"), make("b")
     for number in range(replicas.EJECT_AFTER_LOSSES):
         replica.on_started(float(number))
@@ -60,14 +60,14 @@
     assert len(replicas.usable([replica, other], HELD, 1.58, 1.0)) == 2
 
 
-def test_a_lying_report_has_bounded_weight():
+def test_the_weight_of_a_false_load_report_is_bounded():
     replica = make()
     replica.on_report(1.0, report(busy=10_000, queue=10_000))
     assert replica.load(1.0) <= replicas.FOREIGN_LOAD_CAP * 2
     assert replica.load(1.0 + 20 * replicas.REPORT_HALF_LIFE) < 0.01
 
 
-def test_own_attempts_outweigh_a_report_of_idleness():
+def test_own_attempts_count_although_the_target_reports_no_load():
     replica = make()
     for _ in range(3):
         replica.on_started(0.0)
@@ -75,7 +75,7 @@
     assert replica.load(0.1) == 3
 
 
-def test_a_refused_snapshot_is_disbelieved_for_a_while():
+def test_a_refused_snapshot_counts_as_not_held_for_a_while():
     replica = make()
     replica.on_snapshot_refused(0.0, HELD)
     replica.on_report(1.0, report())
--- a/tests/test_suspect_reports.py
+++ b/tests/test_suspect_reports.py
@@ -1,4 +1,4 @@
-"""How much is told of suspects: nothing where nothing is proven, once a hall what all can read."""
+"""How many suspect records are sent: none without proof, and one set per hall after a restart."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def count_reports(world):
-    """Count the reports that travel, by whether they leave their hall."""
+    """Count the records sent, by whether they leave their hall."""
     found = collections.Counter()
     for node in world.nodes.values():
-        count_of(node, found)
+        count_sent(node, found)
     return found
 
 
-def count_of(node, found):
+def count_sent(node, found):
     send = node._links.send
     hall = node._settings.hall
 
@@ -33,9 +33,9 @@
 
 
 @pytest.mark.parametrize("path", ["/read/q", "/search/q"])
-def test_targets_that_reset_answers_and_live_are_no_news_to_anybody(path):
-    # On 195 instances such a day sent 0.1 GB between regions: each lost answer was told to all,
-    # and so was the answer to its repeat.
+def test_targets_that_reset_connections_and_keep_running_are_not_reported(path):
+    # If each lost answer, and the answer to its retry, is reported to all peers, 195 instances send
+    # 0.1 GB between regions in such a scenario.
     world = test_forwarding.build()
     found = count_reports(world)
     resets = [target for target in world.targets.values() if target.hall == "akl"]
@@ -49,20 +49,20 @@
     assert not found
 
 
-def test_all_instances_that_start_at_once_do_not_tell_each_other_what_all_read():
-    play = fatal.FatalLoad([fatal.Asked(f"/read/fatal{number}") for number in range(4)])
-    play.load(3.0)
-    world = play.world
+def test_instances_that_all_start_at_once_do_not_send_each_other_stored_records():
+    scenario = fatal.FatalLoad([fatal.Asked(f"/read/fatal{number}") for number in range(4)])
+    scenario.load(3.0)
+    world = scenario.world
     held = len(next(iter(world.nodes.values()))._suspects.records)
     assert held >= 2
-    for name in play.names:
+    for name in scenario.names:
         world.host_of(name).kill()
     found = collections.Counter()
-    for name in play.names:
-        count_of(world.add_node(name, name.partition("-")[0]), found)
+    for name in scenario.names:
+        count_sent(world.add_node(name, name.partition("-")[0]), found)
     world.run(6.0)
     assert {len(node._suspects.records) for node in world.nodes.values()} == {held}
-    halls = collections.Counter(name.partition("-")[0] for name in play.names)
-    elsewhere = len(play.names) - max(halls.values())
-    # One instance of each hall tells those of the others what it holds.
+    halls = collections.Counter(name.partition("-")[0] for name in scenario.names)
+    elsewhere = len(scenario.names) - max(halls.values())
+    # One instance of each hall sends its records to the instances of the other halls.
     assert found["far"] <= len(halls) * elsewhere * held
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -1,10 +1,8 @@
-"""A target that starts again under its identity is another process, and begins anew.
+"""A target that restarts with the same identity is a new process without the old one's state.
 
-A target said that it leaves, was gone, and started again under the identity that it had. Whatever
-was held by identity was still held against it: its view said that it is leaving for good, so every
-instance answered 503 although the target was ready:
-
-    view.entries["i-1"] = TargetEntry(id='i-1', ..., is_leaving=True, ...)
+If state kept by identity, such as `is_leaving`, applies to the restarted process, a target that
+drained, stopped and started again counts as leaving forever, and every instance answers 503
+although the target is ready.
 """
 
 from __future__ import annotations
@@ -31,7 +29,7 @@
     return view.apply([target_view.TargetChange("i-1", position, found)], 0)
 
 
-def test_a_later_life_is_not_leaving_though_the_one_before_was():
+def test_a_new_process_is_not_leaving_although_the_previous_one_was():
     view = target_view.TargetView()
     apply(view, 1, entry(OLD))
     apply(view, 2, entry(OLD, is_leaving=True))
@@ -44,7 +42,7 @@
 
 
 @pytest.mark.parametrize("is_gone", [False, True])
-def test_an_entry_of_an_older_life_that_comes_late_changes_nothing(is_gone):
+def test_a_late_entry_of_an_older_process_changes_nothing(is_gone):
     view = target_view.TargetView()
     apply(view, 1, entry(NEW))
     if is_gone:
@@ -53,7 +51,7 @@
     assert [found.born for found in view.entries.values()] == ([] if is_gone else [NEW])
 
 
-def test_a_removal_that_waits_is_not_carried_out_on_a_later_life():
+def test_a_held_removal_is_not_applied_to_a_new_process():
     view = target_view.TargetView()
     apply(view, 1, entry(OLD))
     view.apply([target_view.TargetChange("i-1", positions.Position(1, 2), None)], hold_until=10.0)
@@ -62,7 +60,7 @@
     assert view.entries["i-1"].born == NEW
 
 
-def test_the_start_of_a_life_travels_and_is_read():
+def test_the_start_time_of_a_process_is_encoded_and_parsed():
     change = target_view.TargetChange("i-1", positions.Position(1, 3), entry(NEW))
     assert target_documents.decode(target_documents.encode([change])) == [change]
     text = {
@@ -89,7 +87,7 @@
     return [reply.status for reply in replies]
 
 
-def test_targets_that_left_and_start_again_under_their_identities_are_used():
+def test_targets_that_left_and_restart_with_the_same_identities_are_used():
     world = test_forwarding.build()
     shelf = test_forwarding.targets_of(world, "shelf")
     for target in shelf:
@@ -106,8 +104,8 @@
     assert set(served(world)) == {200}
 
 
-def test_what_is_under_way_at_an_earlier_life_is_told_to_have_ended():
-    # The host of the targets went dark, so no connection tells that they ended.
+def test_a_request_in_flight_at_an_earlier_process_is_failed():
+    # The host of the targets lost power, so no connection shows that they ended.
     world = test_forwarding.build(work=lambda: 10.0)
     shelf = test_forwarding.targets_of(world, "shelf")
     reply = world.ask("akl-1", "/bill/q", "POST", budget=1.9)
@@ -121,7 +119,7 @@
     assert reply.status == 502
 
 
-def test_a_connection_kept_from_an_earlier_life_is_not_used():
+def test_a_pooled_connection_to_an_earlier_process_is_not_used():
     world = test_forwarding.build()
     for _ in range(3):
         assert set(served(world)) == {200}
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -1,4 +1,4 @@
-"""The view of targets: newer revisions win, leaving is final, removals wait after outages."""
+"""The view of targets: newer revisions win, leaving is final, removals are held after outages."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     assert view.entries["i-1"].is_leaving
 
 
-def test_a_listing_drops_what_it_lacks():
+def test_a_listing_removes_entries_that_it_lacks():
     view = target_view.TargetView()
     view.apply([change(1)], 0)
     assert view.replace([], at(7), 0)
@@ -42,7 +42,7 @@
     assert view.position == at(7)
 
 
-def test_a_listing_keeps_what_is_newer_than_itself():
+def test_a_listing_keeps_entries_newer_than_itself():
     view = target_view.TargetView()
     view.apply([change(9)], 0)
     view.replace([], at(7), 0)
@@ -67,7 +67,7 @@
     assert not view.apply([change(2)], 0)
 
 
-def test_changes_travel_whole():
+def test_changes_survive_encoding_and_decoding():
     changes = [change(3), change(4, None, "i-2")]
     assert target_documents.decode(target_documents.encode(changes)) == changes
 
@@ -81,16 +81,16 @@
         raise AssertionError(data)
 
 
-GONE = target_view.TargetChange("i-1", at(5), None)
-AGAIN = change(3, era=2)
-"""The entry as an older copy has it, after it was gone."""
+REMOVED = target_view.TargetChange("i-1", at(5), None)
+REAPPEARED = change(3, era=2)
+"""The entry as an older copy of the store has it, after it was removed."""
 
 
-def returned():
-    """A view in which the store's older copy brought back an entry that had gone."""
+def restored_view():
+    """Return a view in which a removed entry reappeared from an older copy of the store."""
     view = target_view.TargetView()
-    view.apply([change(3), GONE], 0)
-    view.replace([AGAIN], at(4, 2), hold_until=12.3, doubt_until=15.0)
+    view.apply([change(3), REMOVED], 0)
+    view.replace([REAPPEARED], at(4, 2), hold_until=12.3, doubt_until=15.0)
     return view
 
 
@@ -103,58 +103,58 @@
     assert not view.entries
 
 
-def test_what_had_gone_is_doubted_until_it_is_written_anew():
-    view = returned()
+def test_a_reappeared_entry_is_doubted_until_it_is_written_again():
+    view = restored_view()
     assert not view.entries
     assert view.apply([change(6, era=2)], 0)
     assert view.entries
 
 
-def test_what_had_gone_is_believed_when_dead_entries_would_be_gone():
-    view = returned()
+def test_a_reappeared_entry_is_used_once_dead_entries_would_have_expired():
+    view = restored_view()
     assert not view.accept_doubted(14.9)
     assert view.accept_doubted(15.0)
     assert view.entries
 
 
-def test_what_goes_again_is_not_believed_later():
-    removed = returned()
+def test_a_doubted_entry_that_is_removed_again_is_not_used_later():
+    removed = restored_view()
     removed.apply([change(6, None, era=2)], 0)
     assert not removed.accept_doubted(20.0)
-    missing = returned()
+    missing = restored_view()
     missing.replace([], at(9, 2), 0)
     assert not missing.accept_doubted(20.0)
 
 
-def test_another_process_under_the_identity_is_not_doubted():
+def test_a_new_process_with_the_same_identity_is_not_doubted():
     view = target_view.TargetView()
-    view.apply([change(3), GONE], 0)
+    view.apply([change(3), REMOVED], 0)
     born = dataclasses.replace(ENTRY, born=1)
     view.replace([change(3, born, era=2)], at(4, 2), 12.3, 15.0)
     assert view.entries
 
 
-def test_a_peer_that_believed_an_entry_doubts_it_with_those_who_know():
+def test_a_peer_that_uses_a_doubted_entry_learns_to_doubt_it():
     view = target_view.TargetView()
-    view.replace([AGAIN], at(4, 2), 0, 15.0)
+    view.replace([REAPPEARED], at(4, 2), 0, 15.0)
     assert view.entries
-    told = target_documents.decode_unsettled(
-        target_documents.encode_unsettled(returned().unsettled(10.0))
+    received = target_documents.decode_unsettled(
+        target_documents.encode_unsettled(restored_view().unsettled(10.0))
     )
-    assert view.apply_unsettled(told, 10.0)
+    assert view.apply_unsettled(received, 10.0)
     assert not view.entries
     assert not view.accept_doubted(14.9)
     assert view.accept_doubted(15.0)
 
 
-def test_a_peer_that_knows_more_doubts_nothing():
+def test_a_peer_with_newer_information_doubts_nothing():
     view = target_view.TargetView()
     view.apply([change(6, era=2)], 0)
-    assert not view.apply_unsettled(returned().unsettled(10.0), 10.0)
+    assert not view.apply_unsettled(restored_view().unsettled(10.0), 10.0)
     assert view.entries
 
 
-def test_a_peer_holds_up_a_removal_as_long_as_whoever_listed_it():
+def test_a_peer_holds_a_removal_as_long_as_the_sender():
     first = target_view.TargetView()
     first.apply([change(1)], 0)
     first.apply([change(2, None)], hold_until=12.0)
@@ -179,14 +179,14 @@
         b'[["held", 1, "i-1", 1, 1, "s"]]',
     ],
 )
-def test_what_is_no_list_of_unsettled_entries_is_an_error(data):
+def test_an_invalid_list_of_unsettled_entries_is_an_error(data):
     with pytest.raises(target_documents.TargetDocumentError):
         target_documents.decode_unsettled(data)
 
 
-def test_what_a_peer_holds_up_is_held_up_though_more_was_known_of_it():
-    # A reader listed what it held under the position of before the return. A peer with a later one
-    # took it for present, at a place after its removal, and kept it for good.
+def test_an_entry_that_a_peer_holds_is_held_although_a_newer_position_is_known():
+    # An instance lists the entries that it holds with their positions from before the restore. A
+    # peer with a later position must not take such an entry for present and keep it forever.
     view = target_view.TargetView()
     view.apply([change(3, era=2)], 0)
     view.replace([], at(9, 3), 0, held={"i-1": 12.0})
@@ -194,13 +194,13 @@
     assert view.expire(12.0)
 
 
-def test_a_peer_is_told_what_it_lists_and_is_leaving():
-    knows = target_view.TargetView()
-    knows.apply([change(3, dataclasses.replace(ENTRY, is_leaving=True))], 0)
+def test_a_peer_is_told_which_of_its_entries_are_leaving():
+    informed = target_view.TargetView()
+    informed.apply([change(3, dataclasses.replace(ENTRY, is_leaving=True))], 0)
     started = target_view.TargetView()
     started.replace([change(2, era=2)], at(4, 2), 0)
-    knows.replace([change(2, era=2)], at(4, 2), 0)
-    assert knows.entries["i-1"].is_leaving
-    told = knows.corrections(started.all_changes(), 0.0)
-    assert started.apply_unsettled(told, 0.0)
+    informed.replace([change(2, era=2)], at(4, 2), 0)
+    assert informed.entries["i-1"].is_leaving
+    received = informed.corrections(started.all_changes(), 0.0)
+    assert started.apply_unsettled(received, 0.0)
     assert started.entries["i-1"].is_leaving
