--- a/src/lineworks/decisions/cold_targets.py
+++ b/src/lineworks/decisions/cold_targets.py
@@ -100,10 +100,10 @@
             return 0
         if count <= max_requests:
             return max_requests // count
-        mine = ownership.score(self._own, target)
-        before = sum(1 for name in others if ownership.score(name, target) >= mine)
+        own_score = ownership.score(self._own, target)
+        ranked_before = sum(1 for name in others if ownership.score(name, target) >= own_score)
         unknown = count - 1 - len(others)
-        return 1 if before + unknown < max_requests else 0
+        return 1 if ranked_before + unknown < max_requests else 0
 
     def may_send(self, target: str, rate: float, now: float) -> bool:
         """Return whether a request may be sent to a cold target now.
--- a/src/lineworks/decisions/replicas.py
+++ b/src/lineworks/decisions/replicas.py
@@ -97,7 +97,7 @@
     """Whether this incarnation was ever reported as leaving; sticky until the next incarnation."""
 
     is_cold: bool = False
-    """Whether the last report asked for a gradual increase of load."""
+    """Whether the last report asked for reduced load."""
 
     failures: int = 0
     """Consecutive failures to reach the target."""
--- a/src/lineworks/decisions/target_evidence.py
+++ b/src/lineworks/decisions/target_evidence.py
@@ -219,14 +219,14 @@
 
     def _is_credible(self, target: str, origin: str, at: float) -> bool:
         """Record that an instance reports a target as slow; return whether its reports count."""
-        called = self._slow_by_origin.setdefault(origin, {})
-        called[target] = at
-        most = max(MIN_SLOW_LIMIT, MAX_SLOW_SHARE * self.targets)
-        if len(called) <= most:
+        slow_targets = self._slow_by_origin.setdefault(origin, {})
+        slow_targets[target] = at
+        limit = max(MIN_SLOW_LIMIT, MAX_SLOW_SHARE * self.targets)
+        if len(slow_targets) <= limit:
             return True
-        recent = {one: last for one, last in called.items() if at - last <= BELIEF_SECONDS}
+        recent = {one: last for one, last in slow_targets.items() if at - last <= BELIEF_SECONDS}
         self._slow_by_origin[origin] = recent
-        if len(recent) <= most:
+        if len(recent) <= limit:
             return True
         for reports in self._reports.values():
             reports.pop(origin, None)
--- a/tests/test_fatal_requests.py
+++ b/tests/test_fatal_requests.py
@@ -39,9 +39,9 @@
 READ = fatal.Asked("/read/fatal")
 
 
-def run_until_refused(*asked, seconds=2.0):
+def run_until_refused(*queries, seconds=2.0):
     """Create a scenario in which fatal requests have crashed targets and are now refused."""
-    scenario = fatal.FatalLoad(asked)
+    scenario = fatal.FatalLoad(queries)
     scenario.load(seconds)
     return scenario
 
@@ -54,13 +54,13 @@
     return [len(account.ends) for account in scenario.accounts.values()]
 
 
-def assert_bounded(scenario):
+def assert_attempts_limited(scenario):
     scenario.settle()
     for account in scenario.accounts.values():
         assert account.late_tries() <= fatal.MOST_LATE_TRIES
 
 
-def cut_halls(scenario):
+def partition_halls(scenario):
     for one in scenario.names:
         for other in scenario.names:
             if one[:3] != other[:3]:
@@ -77,22 +77,22 @@
         scenario.world.add_node(name, name.partition("-")[0])
 
 
-@pytest.mark.parametrize("asked", [SEARCH, READ])
-def test_instances_that_all_restart_at_once_still_refuse_it(asked):
-    scenario = run_until_refused(asked)
+@pytest.mark.parametrize("query", [SEARCH, READ])
+def test_instances_that_all_restart_at_once_still_refuse_it(query):
+    scenario = run_until_refused(query)
     before = count_ends(scenario)
     restart(scenario, scenario.names)
     scenario.load(8.0)
-    assert_bounded(scenario)
+    assert_attempts_limited(scenario)
     assert count_ends(scenario) == before
 
 
-@pytest.mark.parametrize("asked", [SEARCH, READ])
-def test_partitioned_halls_learn_of_it_from_the_store(asked):
-    scenario = fatal.FatalLoad([asked])
-    cut_halls(scenario)
+@pytest.mark.parametrize("query", [SEARCH, READ])
+def test_partitioned_halls_learn_of_it_from_the_store(query):
+    scenario = fatal.FatalLoad([query])
+    partition_halls(scenario)
     scenario.load(12.0)
-    assert_bounded(scenario)
+    assert_attempts_limited(scenario)
 
 
 def test_instances_learn_of_it_from_peers_while_the_store_is_down():
@@ -101,7 +101,7 @@
     scenario.load(3.0)
     restart(scenario, scenario.names[:1])
     scenario.load(6.0)
-    assert_bounded(scenario)
+    assert_attempts_limited(scenario)
     assert count_ends(scenario)[0] <= fatal.SHARDS + fatal.ENDS_KNOWN
 
 
@@ -116,7 +116,7 @@
     for _ in range(5):
         scenario.ask(SEARCH, name)
         scenario.world.run(0.3)
-    assert_bounded(scenario)
+    assert_attempts_limited(scenario)
     assert count_ends(scenario) == before
 
 
@@ -124,12 +124,12 @@
     scenario = fatal.FatalLoad([SEARCH])
     innocent = [fatal.Asked(f"/search/q{number}") for number in range(6)]
     scenario.ask(SEARCH, "akl-1")
-    for asked, name in zip(innocent, scenario.names, strict=True):
-        scenario.ask_ordinary(asked, name)
+    for query, name in zip(innocent, scenario.names, strict=True):
+        scenario.ask_ordinary(query, name)
     scenario.settle()
     # The targets that ended have restarted by now.
     scenario.world.run(4.0)
-    again = [scenario.ask_ordinary(asked) for asked in innocent]
+    again = [scenario.ask_ordinary(query) for query in innocent]
     scenario.settle()
     assert [reply.status for reply in again] == [200] * len(again)
     assert not any(record.trials for found in exchanges(scenario) for record in found.records)
@@ -157,30 +157,30 @@
 def test_connection_resets_do_not_lead_to_refusals():
     # Targets reset each connection after the work and keep running.
     scenario = fatal.FatalLoad([])
-    asked = fatal.Asked("/read/innocent")
+    query = fatal.Asked("/read/innocent")
     for target in scenario.world.targets.values():
         target.faults.loses_answers = True
     for _ in range(8):
-        scenario.ask_ordinary(asked)
+        scenario.ask_ordinary(query)
         scenario.world.run(0.5)
     for target in scenario.world.targets.values():
         target.faults.loses_answers = False
-    reply = scenario.ask_ordinary(asked)
+    reply = scenario.ask_ordinary(query)
     scenario.settle()
     assert reply.status == 200
 
 
 def test_a_request_whose_targets_were_all_killed_is_suspect_until_its_next_attempt():
     scenario = fatal.FatalLoad([])
-    asked = [fatal.Asked(f"/{kind}/q") for kind in ("search", "read")]
-    for one in asked:
+    queries = [fatal.Asked(f"/{kind}/q") for kind in ("search", "read")]
+    for one in queries:
         scenario.ask_ordinary(one)
     scenario.world.run(0.012)
     for target in list(scenario.world.targets.values()):
         scenario.world.crash(target, 1.0)
     scenario.world.run(5.0)
     assert any(found.records for found in exchanges(scenario))
-    again = [scenario.ask_ordinary(one) for one in asked]
+    again = [scenario.ask_ordinary(one) for one in queries]
     scenario.settle()
     assert [reply.status for reply in again] == [200, 200]
     # Cleared on all instances, so the next request is not on trial.
@@ -236,15 +236,15 @@
 
 
 @pytest.mark.parametrize("tells_births", [True, False])
-@pytest.mark.parametrize("asked", [SEARCH, READ])
-def test_targets_that_restart_with_the_same_identity_are_distinguished(asked, tells_births):
+@pytest.mark.parametrize("query", [SEARCH, READ])
+def test_targets_that_restart_with_the_same_identity_are_distinguished(query, tells_births):
     # If a target's entry does not show its start time (yet), its next end must not be taken for the
     # first one: otherwise ends in trials are not counted, and trials go on forever.
-    scenario = fatal.FatalLoad([asked])
+    scenario = fatal.FatalLoad([query])
     scenario.world.keeps_identities = True
     scenario.world.tells_births = tells_births
     scenario.load(12.0)
-    assert_bounded(scenario)
+    assert_attempts_limited(scenario)
     assert count_ends(scenario)[0] <= fatal.SHARDS + fatal.ENDS_KNOWN
 
 
@@ -260,15 +260,15 @@
         scenario.ask(READ)
         scenario.world.run(4.0)
     assert count_ends(scenario) == [3]
-    assert_bounded(scenario)
+    assert_attempts_limited(scenario)
 
 
-@pytest.mark.parametrize("asked", [SEARCH, READ])
+@pytest.mark.parametrize("query", [SEARCH, READ])
 @pytest.mark.parametrize("seed", range(4))
-def test_the_limit_holds_in_any_order_of_restarts_freezes_and_partitions(seed, asked):
+def test_the_limit_holds_in_any_order_of_restarts_freezes_and_partitions(seed, query):
     # Recently disturbed instances may lack the latest records, so the caller asks others.
-    scenario = fatal.FatalLoad([asked], seed)
-    rng = random.Random(f"{seed}-{asked.path}")
+    scenario = fatal.FatalLoad([query], seed)
+    rng = random.Random(f"{seed}-{query.path}")
     settled_from = dict.fromkeys(scenario.names, 0.0)
     frozen = {}
     for _ in range(24):
@@ -285,17 +285,17 @@
             scenario.world.host_of(name).freeze()
             frozen[name] = scenario.now + rng.uniform(0.5, 3.0)
         elif fault == "cut":
-            cut_halls(scenario)
+            partition_halls(scenario)
         elif fault == "heal":
             scenario.world.network.heal()
         if fault in ("kill", "freeze"):
             settled_from[name] = frozen.get(name, scenario.now) + fatal.CONTACT_SECONDS
         settled = [one for one in scenario.names if settled_from[one] <= scenario.now]
         if settled:
-            scenario.ask(asked, rng.choice(settled))
+            scenario.ask(query, rng.choice(settled))
         scenario.ask_ordinary()
         scenario.world.run(rng.uniform(0.3, 0.9))
-    assert_bounded(scenario)
+    assert_attempts_limited(scenario)
 
 
 @pytest.mark.parametrize(
@@ -325,4 +325,4 @@
     # The targets that ended have restarted by then.
     late = [one for one in scenario.ordinary if one.reply.sent_at > scenario.now - 5.0]
     assert fatal.served(late) == 1.0
-    assert_bounded(scenario)
+    assert_attempts_limited(scenario)
