--- a/src/lineworks/engine/dispatcher.py
+++ b/src/lineworks/engine/dispatcher.py
@@ -333,14 +333,14 @@
         state = self._get_group_state(query)
         elapsed = self._clock.seconds() - frame.sent_at
         budget_fill = state.hedges.tokens / queries.HEDGE_BURST
-        progress = hedging.Progress(elapsed, query.outstanding, len(query.shards), budget_fill)
+        progress = hedging.QueryProgress(elapsed, query.outstanding, len(query.shards), budget_fill)
         latencies = state.hall_latencies(frame.hall)
         advice = self._tuning.hedge(progress, latencies, state.hedge_budget)
         if advice.should_hedge:
             for position in waiting:
                 self._hedge(query, position, state)
         if advice.check_in is not None:
-            delay = max(advice.check_in, hedging.LEAST_CHECK)
+            delay = max(advice.check_in, hedging.MIN_CHECK_SECONDS)
             query.timers.append(self._clock.callLater(delay, self._check_hedge, query, frame))
 
     def _hedge(self, query: queries.Query, position: int, state: queries.GroupState) -> None:
--- a/src/lineworks/engine/front_state.py
+++ b/src/lineworks/engine/front_state.py
@@ -11,7 +11,7 @@
 class Tuning:
     """Options of a front; the benchmarks compare their settings."""
 
-    hedge: hedging.Rule = dataclasses.field(default_factory=hedging.make_progress_rule)
+    hedge: hedging.HedgeRule = dataclasses.field(default_factory=hedging.make_progress_rule)
     """Rule that decides when sub-queries are hedged in another hall."""
 
     uses_admission: bool = True
--- a/src/lineworks/engine/gatherer.py
+++ b/src/lineworks/engine/gatherer.py
@@ -94,7 +94,7 @@
             held[service] = frozenset().union(*usable)
         return held
 
-    def on_report(self, target: str, report: replicas.Report) -> None:
+    def on_report(self, target: str, report: replicas.StatusReport) -> None:
         """Process a report that a target sent about itself.
 
         Args:
@@ -189,7 +189,7 @@
             if check_in is not None and (next_check is None or check_in < next_check):
                 next_check = check_in
         if next_check is not None:
-            delay = max(next_check, hedging.LEAST_CHECK)
+            delay = max(next_check, hedging.MIN_CHECK_SECONDS)
             frame.hedge_timer = self._clock.callLater(delay, self._check_hedges, key)
 
     def _check_hedge(self, sub: sub_query.SubQuery, frame: sub_query.Frame) -> float | None:
@@ -197,7 +197,9 @@
         group = self._group(sub.request.group)
         elapsed = self._elapsed(sub)
         budget_fill = group.hedges.tokens / sub_query.HEDGE_BURST
-        progress = hedging.Progress(elapsed, frame.outstanding, len(frame.sub_queries), budget_fill)
+        progress = hedging.QueryProgress(
+            elapsed, frame.outstanding, len(frame.sub_queries), budget_fill
+        )
         advice = self._tuning.hedge(progress, group.latencies, group.hedge_budget)
         if advice.should_hedge and sub.running:
             self._hedge(sub, group)
@@ -316,7 +318,7 @@
             replica.limit.on_refused()
         elif reason is verdict.Reason.OVERLOADED:
             replica.limit.on_refused()
-            replica.rest_until = now + sub_query.SHED_BACKOFF
+            replica.backoff_until = now + sub_query.SHED_BACKOFF
         elif reason is verdict.Reason.LEAVING:
             self.on_leaving(replica.target.name)
         if sub_query.is_wrong_snapshot(sub, outcome):
@@ -413,7 +415,7 @@
             self.counters.cancelled += 1
             running.replica.on_ended(now, is_progress=False)
             if slow_threshold and now - running.started > slow_threshold:
-                running.replica.on_lost_race(now)
+                running.replica.on_attempt_abandoned(now)
         sub.running.clear()
         if pool.waiting:
             self._clock.callLater(0, self._dispatch_waiting, pool)
--- a/src/lineworks/engine/ports.py
+++ b/src/lineworks/engine/ports.py
@@ -65,7 +65,7 @@
     body: bytes = b""
     """Body of the reply."""
 
-    report: replicas.Report | None = None
+    report: replicas.StatusReport | None = None
     """Report on the target's own state that came with the reply, if any."""
 
 
--- a/src/lineworks/engine/sub_query.py
+++ b/src/lineworks/engine/sub_query.py
@@ -42,7 +42,7 @@
 class Tuning:
     """Options of a gatherer; the benchmarks compare their settings."""
 
-    choose: replicas.Choice = replicas.choose_least_loaded
+    choose: replicas.ChooseReplica = replicas.choose_least_loaded
     """Rule that chooses among the usable replicas with free capacity."""
 
     limits_concurrency: bool = True
@@ -51,7 +51,7 @@
     ejects_stalled: bool = True
     """Whether stalled replicas get no attempts unless all are stalled."""
 
-    hedge: hedging.Rule = dataclasses.field(default_factory=hedging.make_progress_rule)
+    hedge: hedging.HedgeRule = dataclasses.field(default_factory=hedging.make_progress_rule)
     """Rule that decides when a sub-query is hedged at another replica in the hall."""
 
 
@@ -167,8 +167,8 @@
     def __init__(self) -> None:
         self.replicas: list[replicas.Replica] = []
         self.waiting: collections.deque[SubQuery] = collections.deque()
-        self.service_time = estimators.Average(0.05)
-        self.retries = estimators.Budget(RETRY_BURST)
+        self.service_time = estimators.MovingAverage(0.05)
+        self.retries = estimators.TokenBudget(RETRY_BURST)
 
     @property
     def stall_timeout(self) -> float:
@@ -181,7 +181,7 @@
 
     def __init__(self) -> None:
         self.latencies = estimators.Quantiles()
-        self.hedges = estimators.Budget(HEDGE_BURST, INITIAL_HEDGE_TOKENS)
+        self.hedges = estimators.TokenBudget(HEDGE_BURST, INITIAL_HEDGE_TOKENS)
         self.hedge_budget = 0.0
 
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""Replica choice, reports and ejection."""
+"""Replica choice, status reports and ejection."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 def report(**more):
     values = {"incarnation": "1", "holds": frozenset({HELD}), **more}
-    return replicas.Report(**values)
+    return replicas.StatusReport(**values)
 
 
 def test_only_holders_of_the_snapshot_are_usable():
@@ -42,32 +42,32 @@
     assert replicas.usable([replica], HELD, 9.0, 1.0) == [replica]
 
 
-def test_a_stalled_replica_is_passed_over_for_another():
-    stalled, lively = make("a"), make("b")
+def test_a_stalled_replica_is_skipped_if_there_is_another():
+    stalled, responsive = make("a"), make("b")
     stalled.on_started(0.0)
-    assert replicas.usable([stalled, lively], HELD, 9.0, 1.0) == [lively]
+    assert replicas.usable([stalled, responsive], HELD, 9.0, 1.0) == [responsive]
 
 
-def test_slow_attempts_given_up_make_a_suspect_until_it_replies():
+def test_abandoned_slow_attempts_eject_a_replica_until_it_replies():
     replica, other = make("a"), make("b")
-    for number in range(replicas.SUSPECT_AFTER):
+    for number in range(replicas.EJECT_AFTER_LOSSES):
         replica.on_started(float(number))
         replica.on_ended(number + 0.5, is_progress=False)
-        replica.on_lost_race(number + 0.5)
+        replica.on_attempt_abandoned(number + 0.5)
     assert replicas.usable([replica, other], HELD, 1.55, 1.0) == [other]
     replica.on_started(1.55)
     replica.on_ended(1.58, is_progress=True)
     assert len(replicas.usable([replica, other], HELD, 1.58, 1.0)) == 2
 
 
-def test_a_lying_report_has_bounded_weight():
+def test_the_weight_of_a_false_load_report_is_bounded():
     replica = make()
     replica.on_report(1.0, report(busy=10_000, queue=10_000))
     assert replica.load(1.0) <= replicas.FOREIGN_LOAD_CAP * 2
     assert replica.load(1.0 + 20 * replicas.REPORT_HALF_LIFE) < 0.01
 
 
-def test_own_attempts_outweigh_a_report_of_idleness():
+def test_own_attempts_count_although_the_target_reports_no_load():
     replica = make()
     for _ in range(3):
         replica.on_started(0.0)
@@ -75,12 +75,12 @@
     assert replica.load(0.1) == 3
 
 
-def test_a_refused_snapshot_is_disbelieved_for_a_while():
+def test_a_refused_snapshot_counts_as_not_held_for_a_while():
     replica = make()
     replica.on_snapshot_refused(0.0, HELD)
     replica.on_report(1.0, report())
     assert HELD not in replica.holds
-    replica.on_report(1.0 + replicas.DISBELIEF, report())
+    replica.on_report(1.0 + replicas.SNAPSHOT_REFUSAL_SECONDS, report())
     assert HELD in replica.holds
 
 
@@ -91,8 +91,8 @@
         replica.on_started(float(number))
         replica.on_ended(float(number), is_progress=False)
         replica.on_unreachable(float(number), rng)
-        rests.append(replica.rest_until - number)
-    assert rests[0] < rests[3] < rests[-1] <= replicas.BACKOFF_CAP
+        rests.append(replica.backoff_until - number)
+    assert rests[0] < rests[3] < rests[-1] <= replicas.BACKOFF_CAP_SECONDS
 
 
 def test_a_cold_target_starts_with_one_attempt():
