--- a/bench/soak/history.py
+++ b/bench/soak/history.py
@@ -237,7 +237,7 @@
     quota_bound: quota.QuotaBound = quota.QuotaBound()
     """What all instances together may let through beyond a workspace's limit."""
 
-    revocation: access.Revocation = access.Revocation()
+    revocation: access.RevocationPolicy = access.RevocationPolicy()
     """What holds for keys that were taken away while an instance heard nothing."""
 
     older_copies: tuple[tuple[float, float], ...] = ()
--- a/bench/soak/processes.py
+++ b/bench/soak/processes.py
@@ -274,7 +274,7 @@
         allowance: extra_attempts.Allowance,
         folder: pathlib.Path,
         quota_bound: quota.QuotaBound | None = None,
-        revocation: access.Revocation | None = None,
+        revocation: access.RevocationPolicy | None = None,
     ) -> None:
         """Write its settings; `start` starts it.
 
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -232,7 +232,7 @@
             tuple(done.store_faults),
             left=tuple(done.left),
             quota_bound=workspaces.BOUND,
-            revocation=known.revocation if known is not None else access.Revocation(),
+            revocation=known.revocation if known is not None else access.RevocationPolicy(),
             older_copies=tuple(done.older),
             logged_keys=history.find_logged_keys(self._folder, done.configured),
         )
--- a/bench/soak/workspaces.py
+++ b/bench/soak/workspaces.py
@@ -100,7 +100,7 @@
             seed: Seed of the run.
         """
         self._rng = random.Random(f"{seed}-workspaces")
-        self.revocation = access.Revocation(is_strict(seed), REVOKE_SECONDS)
+        self.revocation = access.RevocationPolicy(is_strict(seed), REVOKE_SECONDS)
         """What holds for keys that were taken away while an instance heard nothing."""
         names = (OPEN, SMALL, HOT)
         self._keys = {name: [self._make_key() for _ in range(KEYS)] for name in names}
--- a/bench/workspace_slopes.py
+++ b/bench/workspace_slopes.py
@@ -65,7 +65,7 @@
     table = configuration.decode(data)
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    assert table.workspaces.is_used
+    assert table.workspaces.requires_keys
     return size
 
 
@@ -94,7 +94,7 @@
     """
     table = configuration.decode(_document(1 + WORKSPACES))
     route = table.routes[0]
-    knowledge, revocation = access.Knowledge(0.0), access.Revocation()
+    knowledge, revocation = access.ConfigurationFreshness(0.0), access.RevocationPolicy()
 
     def check(number: int) -> float:
         values = [
--- a/src/lineworks/decisions/admission.py
+++ b/src/lineworks/decisions/admission.py
@@ -1,8 +1,8 @@
-"""Which queries start now, which wait, and which are refused.
+"""Admission control: which queries start now, which are queued and which are refused.
 
-One `Admission` stands before each group at each front. Waiting queries are served by weighted
-fair queuing over their classes: each class has a virtual finish time that moves by the inverse
-of its weight, and the class with the smallest one goes next.
+Each front has one `Admission` per group. Queued queries are served by weighted fair queuing over
+their classes: each class has a virtual finish time, which advances by the inverse of its weight,
+and the class with the smallest virtual finish time is served next.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 T = TypeVar("T")
 
 MAX_WAITING = 4096
-"""Queries that may wait before one group; more are refused at once."""
+"""Maximum queue length per front and group; further queries are refused immediately."""
 
-STANDING = 1.0
-"""Seconds after which a queue that was never empty counts as standing, not as a burst."""
+STANDING_QUEUE_SECONDS = 1.0
+"""Seconds without becoming empty after which a queue counts as standing rather than as a burst."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Waiting(Generic[T]):
+class _QueuedQuery(Generic[T]):
     item: T
     deadline: float
 
@@ -34,66 +34,66 @@
 @dataclasses.dataclass(slots=True)
 class _ClassQueue(Generic[T]):
     finish: float
-    waiting: collections.deque[_Waiting[T]]
+    waiting: collections.deque[_QueuedQuery[T]]
 
 
 class Admission(Generic[T]):
-    """The queue before one group."""
+    """Limits and queues the queries for one group."""
 
     def __init__(
         self,
         limit: limits.QueryLimit,
-        patience: float,
+        max_wait: float,
         on_expired: Callable[[T, verdict.Verdict], None],
     ) -> None:
-        """Start empty.
+        """Initialize an empty queue.
 
         Args:
-            limit: The limit of concurrent queries.
-            patience: Seconds that a query may wait while the queue is standing; in a burst it
-                may wait up to its deadline.
-            on_expired: Called with each item that is refused after it waited.
+            limit: The concurrency limit.
+            max_wait: Seconds that a query may be queued while there is a standing queue; during a
+                burst it may be queued until its deadline.
+            on_expired: Called with each query that is refused after it was queued.
         """
         self._limit = limit
-        self._patience = patience
-        self._empty_at = 0.0
+        self._max_wait = max_wait
+        self._last_empty_at = 0.0
         self._on_expired = on_expired
         self._queues: dict[str, _ClassQueue[T]] = {}
         self._weights: dict[str, float] = {}
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._waiting = 0
         self._in_flight = 0
         self._latency = estimators.Average(0.1)
 
     @property
     def in_flight(self) -> int:
-        """Queries under way."""
+        """Number of running queries."""
         return self._in_flight
 
     @property
     def waiting(self) -> int:
-        """Queries in the queue."""
+        """Number of queued queries."""
         return self._waiting
 
     @property
     def limit(self) -> int:
-        """Concurrent queries allowed now."""
+        """Current concurrency limit."""
         return self._limit.value
 
     def offer(
         self, item: T, caller_class: str, weight: float, now: float, deadline: float
     ) -> verdict.Verdict | None:
-        """Take in a query.
+        """Start, queue or refuse a query.
 
         Args:
             item: The query.
-            caller_class: Its class.
+            caller_class: The query's class.
             weight: The class's weight.
-            now: The present, in seconds.
-            deadline: When the caller stops waiting, on the same clock.
+            now: Current time in seconds.
+            deadline: Time in seconds at which the caller stops waiting, on the same clock as `now`.
 
         Returns:
-            OK when it starts now, None when it waits, and a NOT_RUN verdict when it is refused.
+            OK if the query starts now, None if it is queued, or a NOT_RUN verdict if refused.
         """
         if self._in_flight < self._limit.value and not self._waiting:
             self._in_flight += 1
@@ -101,46 +101,50 @@
         queue = self._queues.get(caller_class)
         length = len(queue.waiting) if queue else 0
         share = weight / self._total_weight(caller_class, weight)
-        wait = (length + 1) * self._latency.value / max(1, self._limit.value) / share
+        expected_wait = (length + 1) * self._latency.value / max(1, self._limit.value) / share
         if not self._waiting:
-            self._empty_at = now
-        is_late = now + wait + self._latency.value > deadline
-        is_standing = now - self._empty_at > STANDING and wait > self._patience
-        if self._waiting >= MAX_WAITING or is_late or is_standing:
-            return verdict.not_run(verdict.Reason.OVERLOADED, f"expected wait {wait:.3f} s")
+            self._last_empty_at = now
+        misses_deadline = now + expected_wait + self._latency.value > deadline
+        is_standing = (
+            now - self._last_empty_at > STANDING_QUEUE_SECONDS and expected_wait > self._max_wait
+        )
+        if self._waiting >= MAX_WAITING or misses_deadline or is_standing:
+            return verdict.not_run(
+                verdict.Reason.OVERLOADED, f"expected queueing time {expected_wait:.3f} s"
+            )
         if queue is None:
             queue = self._queues[caller_class] = _ClassQueue(0.0, collections.deque())
         if not queue.waiting:
-            queue.finish = max(queue.finish, self._virtual) + 1.0 / weight
-        queue.waiting.append(_Waiting(item, deadline))
+            queue.finish = max(queue.finish, self._virtual_time) + 1.0 / weight
+        queue.waiting.append(_QueuedQuery(item, deadline))
         self._weights[caller_class] = weight
         self._waiting += 1
         return None
 
     def finish(self, now: float, latency: float, wait: float) -> None:
-        """Note that an admitted query ended.
+        """Record the end of an admitted query.
 
         Args:
-            now: The present, in seconds.
-            latency: How long it took since its start, in seconds.
-            wait: The wait for a slot that decided it, in seconds.
+            now: Current time in seconds.
+            latency: Seconds since the query started.
+            wait: Seconds of waiting for a slot that determined the query's latency.
         """
         self._in_flight -= 1
         self._latency.record(latency)
         self._limit.on_answer(now, wait, latency, self._in_flight)
 
     def abandon(self) -> None:
-        """Note that an admitted query ended without teaching anything, for example cancelled."""
+        """Record the end of an admitted query that yields no measurement, such as a cancelled one."""
         self._in_flight -= 1
 
     def remove(self, item: T) -> bool:
-        """Take a waiting query out, because its caller has gone.
+        """Remove a queued query whose caller has disconnected.
 
         Args:
             item: The query.
 
         Returns:
-            Whether it was waiting.
+            True if the query was queued.
         """
         for queue in self._queues.values():
             for entry in queue.waiting:
@@ -151,21 +155,22 @@
         return False
 
     def take(self, now: float) -> T | None:
-        """Start the next waiting query, if the limit allows one.
+        """Start the next queued query if the limit allows one.
 
-        Queries that can no longer be answered in time are refused on the way.
+        Queries that can no longer be answered before their deadline are refused.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            The query to start, or None.
+            The query to start, or None if there is none.
         """
         while self._waiting and self._in_flight < self._limit.value:
             entry = self._pop()
             if now + self._latency.value > entry.deadline:
                 self._on_expired(
-                    entry.item, verdict.not_run(verdict.Reason.OVERLOADED, "waited too long")
+                    entry.item,
+                    verdict.not_run(verdict.Reason.OVERLOADED, "queueing took too long"),
                 )
                 continue
             self._in_flight += 1
@@ -180,13 +185,13 @@
         )
         return others + weight
 
-    def _pop(self) -> _Waiting[T]:
+    def _pop(self) -> _QueuedQuery[T]:
         name = min(
             (name for name, queue in self._queues.items() if queue.waiting),
             key=lambda name: self._queues[name].finish,
         )
         queue = self._queues[name]
-        self._virtual = queue.finish
+        self._virtual_time = queue.finish
         queue.finish += 1.0 / self._weights[name]
         self._waiting -= 1
         return queue.waiting.popleft()
--- a/src/lineworks/decisions/claims.py
+++ b/src/lineworks/decisions/claims.py
@@ -1,8 +1,8 @@
-"""Claims of idempotency keys, kept in the platform in grouped bucket values.
+"""Claims of idempotency keys, stored in the platform as buckets.
 
-A key's hash names a bucket. All claims for a bucket that come within a few milliseconds are
-added by one compare-and-swap. Each claim carries a nonce of its claimant, so that a write whose
-reply was lost is settled by reading the bucket back.
+The hash of a key determines its bucket. Claims for the same bucket that arrive within a few
+milliseconds are added by one compare-and-swap. Each claim carries a nonce chosen by its claimant:
+if the reply to a write is lost, reading the bucket back shows which claims were stored.
 """
 
 from __future__ import annotations
@@ -16,122 +16,122 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-BUCKETS = 256
-"""Bucket values in the platform."""
+BUCKET_COUNT = 256
+"""Number of bucket values in the platform."""
 
-KEPT_SECONDS = 24 * 3600.0
-"""Seconds for which a claim is kept."""
+CLAIM_TTL_SECONDS = 24 * 3600.0
+"""Seconds for which a claim is stored."""
 
 MAX_BUCKET_BYTES = 900_000
-"""Size of a bucket value above which no more claims are taken."""
+"""Maximum size of a bucket value in bytes; a claim that would exceed it is refused."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """One idempotency key, taken."""
+    """An instance's claim of one idempotency key."""
 
     key: str
-    """Digest of workspace and key."""
+    """Digest of the workspace and the idempotency key."""
 
     nonce: str
-    """Chosen by the claimant for this one claim."""
+    """Value that the claimant chose for this claim only."""
 
     instance: str
-    """Name of the claimant."""
+    """Name of the instance that made the claim."""
 
     fingerprint: str
     """Digest of the request."""
 
     expires: float
-    """Wall clock time, in seconds since the epoch, after which the claim is forgotten."""
+    """Expiry time, in seconds since the epoch."""
 
 
-class FullBucketError(Exception):
+class BucketFullError(Exception):
     """A bucket has no room for another claim."""
 
 
 def digest(workspace: str, key: str) -> str:
-    """Digest a caller's idempotency key.
+    """Compute the digest of a caller's idempotency key.
 
     Args:
-        workspace: The workspace, whose keys are apart from those of others.
-        key: The key.
+        workspace: Name of the workspace; each workspace has its own namespace of keys.
+        key: The idempotency key.
 
     Returns:
         32 hexadecimal digits.
     """
-    found: str = xxhash.xxh3_128_hexdigest(f"{workspace}\0{key}".encode())
-    return found
+    hexadecimal: str = xxhash.xxh3_128_hexdigest(f"{workspace}\0{key}".encode())
+    return hexadecimal
 
 
-def bucket_of(key: str) -> str:
-    """Name the bucket of a digested key.
+def bucket_key(key: str) -> str:
+    """Return the platform key of the bucket that holds an idempotency key.
 
     Args:
-        key: The digest.
+        key: Digest of the idempotency key.
 
     Returns:
-        The platform's key.
+        The bucket's key in the platform.
     """
-    return f"claims/{int(key[:8], 16) % BUCKETS:03d}"
+    return f"claims/{int(key[:8], 16) % BUCKET_COUNT:03d}"
 
 
-def parse_bucket(data: str | None) -> dict[str, Claim]:
-    """Read a bucket value.
+def decode_bucket(data: str | None) -> dict[str, Claim]:
+    """Decode a bucket value.
 
     Args:
-        data: JSON, or None for an absent bucket.
+        data: The value as JSON; None if the bucket does not exist.
 
     Returns:
-        Claims by key.
+        Claims by key digest.
     """
     if data is None:
         return {}
     return {row[0]: Claim(*row) for row in json.loads(data)}
 
 
-def write_bucket(claims: Mapping[str, Claim]) -> str:
-    """Write a bucket value.
+def encode_bucket(claims: Mapping[str, Claim]) -> str:
+    """Encode a bucket value.
 
     Args:
-        claims: Claims by key.
+        claims: Claims by key digest.
 
     Returns:
-        JSON.
+        The value as JSON.
     """
     rows = [list(dataclasses.astuple(claim)) for _, claim in sorted(claims.items())]
     return json.dumps(rows, separators=(",", ":"))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Merge:
-    """The outcome of adding claims to a bucket."""
+class MergeResult:
+    """The result of adding claims to a bucket."""
 
     data: str
-    """The bucket value to write."""
+    """The new bucket value."""
 
     won: tuple[Claim, ...]
-    """Claims that hold once the value is written."""
+    """Claims that are in effect once the value is written."""
 
     lost: Mapping[str, Claim]
-    """For the nonce of each claim that came too late, the claim that was first."""
+    """By the nonce of each rejected claim, the earlier claim of the same key."""
 
 
-def merge(data: str | None, wanted: Iterable[Claim], wall_now: float) -> Merge:
-    """Add claims to a bucket; the first claim of a key holds.
+def merge(data: str | None, wanted: Iterable[Claim], wall_now: float) -> MergeResult:
+    """Add claims to a bucket; the first claim of a key wins.
 
     Args:
-        data: The bucket value now.
+        data: The current bucket value; None if the bucket does not exist.
         wanted: The claims to add, in order.
-        wall_now: The present, in seconds since the epoch; expired claims are dropped.
+        wall_now: Current time in seconds since the epoch; expired claims are dropped.
 
     Returns:
-        The merge.
+        The new bucket value and the outcome for each claim.
 
     Raises:
-        FullBucketError: The value would grow too large.
+        BucketFullError: The new value would exceed `MAX_BUCKET_BYTES`.
     """
-    held = {key: claim for key, claim in parse_bucket(data).items() if claim.expires > wall_now}
+    held = {key: claim for key, claim in decode_bucket(data).items() if claim.expires > wall_now}
     won = []
     lost = {}
     for claim in wanted:
@@ -140,7 +140,7 @@
             won.append(claim)
         else:
             lost[claim.nonce] = first
-    written = write_bucket(held)
-    if len(written) > MAX_BUCKET_BYTES:
-        raise FullBucketError("the bucket has no room for another claim")
-    return Merge(written, tuple(won), lost)
+    encoded = encode_bucket(held)
+    if len(encoded) > MAX_BUCKET_BYTES:
+        raise BucketFullError("claim bucket is full")
+    return MergeResult(encoded, tuple(won), lost)
--- a/src/lineworks/decisions/cold_targets.py
+++ b/src/lineworks/decisions/cold_targets.py
@@ -79,7 +79,7 @@
         """
         for name in names:
             self._seen[name] = now
-        oldest = now - instance_count.COUNT_SECONDS
+        oldest = now - instance_count.RETENTION_SECONDS
         self._seen = {name: at for name, at in self._seen.items() if at >= oldest}
 
     def share(self, target: str, rate: float) -> int:
--- a/src/lineworks/decisions/credit.py
+++ b/src/lineworks/decisions/credit.py
@@ -1,39 +1,41 @@
-"""Credit for extra attempts that ends with time."""
+"""Credit for extra attempts that expires."""
 
 from __future__ import annotations
 
 import dataclasses
 
 BUCKET_SECONDS = 0.25
-"""Pieces of time in which credit ends together."""
+"""Length in seconds of the time slices in which credit is recorded; the credit of a slice expires
+together."""
 
-SMALL_POOL = 3.0
-"""Credit below which nothing is kept for others: it would be a part of an attempt, which nobody
-could spend. A hall of two instances had no second attempt left for a shard beside it."""
+MIN_RESERVABLE_CREDIT = 3.0
+"""Total credit below which no fraction of it is reserved: the reserved part would be less than one
+attempt, so nobody could spend it. With a reserve, a hall of two instances had no second attempt
+left for a shard."""
 
 _ROUNDING = 1e-9
 
 
 @dataclasses.dataclass(slots=True)
 class _Bucket:
-    """Credit that was earned in one piece of time."""
+    """Credit that was earned in one time slice."""
 
     epoch: int
     amount: float
     spent: dict[str, float] = dataclasses.field(default_factory=dict)
 
-    def left(self, service: str) -> float:
+    def remaining(self, service: str) -> float:
         return self.amount - self.spent.get(service, 0.0)
 
 
-class Credit:
-    """Credit that ends: the same amount for every service, less what each one spent."""
+class ExpiringCredit:
+    """Credit that expires: the same amount for every service, less what was spent on each one."""
 
     def __init__(self, lifetime: float) -> None:
-        """Start with none.
+        """Initialize without credit.
 
         Args:
-            lifetime: Seconds after which credit ends.
+            lifetime: Seconds after which credit expires.
         """
         self._lifetime = lifetime
         self._buckets: list[_Bucket] = []
@@ -42,13 +44,13 @@
         """Add credit for every service.
 
         Args:
-            amount: Extra attempts, fractions included.
-            at: Time from which its life is counted, in seconds; not after the present.
-            now: The present, in seconds.
+            amount: Number of extra attempts, possibly fractional.
+            at: Time in seconds from which the lifetime is counted; not after `now`.
+            now: Current time in seconds.
         """
         epoch = int(at / BUCKET_SECONDS)
-        self._drop_ended(now)
-        if amount <= 0 or self._is_over(epoch, now):
+        self._drop_expired(now)
+        if amount <= 0 or self._is_expired(epoch, now):
             return
         for bucket in self._buckets:
             if bucket.epoch == epoch:
@@ -57,47 +59,47 @@
         self._buckets.append(_Bucket(epoch, amount))
         self._buckets.sort(key=lambda bucket: bucket.epoch)
 
-    def take(self, service: str, amount: float, now: float, kept: float = 0.0) -> bool:
-        """Spend credit of one service, what ends first before the rest.
+    def take(self, service: str, amount: float, now: float, reserved: float = 0.0) -> bool:
+        """Spend credit of one service, starting with the credit that expires first.
 
         Args:
             service: The service.
-            amount: How much.
-            now: The present, in seconds.
-            kept: Part of all credit (0 to 1) that is left for others.
+            amount: Number of extra attempts, possibly fractional.
+            now: Current time in seconds.
+            reserved: Fraction (0 to 1) of all credit that must remain for other uses.
 
         Returns:
-            Whether there was enough; nothing is spent otherwise.
+            True if there was enough credit; otherwise nothing is spent.
         """
-        left = self.left(service, now)
+        remaining = self.remaining(service, now)
         total = sum(bucket.amount for bucket in self._buckets)
-        floor = kept * total if total >= SMALL_POOL else 0.0
-        if left - amount < floor - _ROUNDING:
+        floor = reserved * total if total >= MIN_RESERVABLE_CREDIT else 0.0
+        if remaining - amount < floor - _ROUNDING:
             return False
         for bucket in self._buckets:
-            part = min(amount, bucket.left(service))
+            part = min(amount, bucket.remaining(service))
             if part > 0:
                 bucket.spent[service] = bucket.spent.get(service, 0.0) + part
                 amount -= part
         return True
 
-    def left(self, service: str, now: float) -> float:
-        """Tell how much credit a service has left.
+    def remaining(self, service: str, now: float) -> float:
+        """Return the credit that a service has left.
 
         Args:
             service: The service.
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            A number of attempts, fractions included.
+            Number of extra attempts, possibly fractional.
         """
-        self._drop_ended(now)
-        return sum(bucket.left(service) for bucket in self._buckets)
+        self._drop_expired(now)
+        return sum(bucket.remaining(service) for bucket in self._buckets)
 
-    def _is_over(self, epoch: int, now: float) -> bool:
-        """Say whether the oldest credit of a bucket is over; the rest of it goes along."""
+    def _is_expired(self, epoch: int, now: float) -> bool:
+        """Return whether a bucket's oldest credit has expired, and with it the whole bucket."""
         return epoch * BUCKET_SECONDS + self._lifetime <= now
 
-    def _drop_ended(self, now: float) -> None:
-        if self._buckets and self._is_over(self._buckets[0].epoch, now):
-            self._buckets = [one for one in self._buckets if not self._is_over(one.epoch, now)]
+    def _drop_expired(self, now: float) -> None:
+        if self._buckets and self._is_expired(self._buckets[0].epoch, now):
+            self._buckets = [one for one in self._buckets if not self._is_expired(one.epoch, now)]
--- a/src/lineworks/decisions/deadlines.py
+++ b/src/lineworks/decisions/deadlines.py
@@ -1,53 +1,53 @@
-"""Deadlines: absolute at each process, sent as remaining time, reduced at each hop."""
+"""Deadlines: absolute within a process, sent as remaining time and reduced at each hop."""
 
 from __future__ import annotations
 
 HOP_MARGIN = 0.002
-"""Seconds that a hop keeps for itself, so that its own answer still arrives in time."""
+"""Seconds that a hop reserves so that its own response arrives in time."""
 
-MAX_DEADLINE = 60.0
-"""Longest time, in seconds, that a caller may ask for."""
+MAX_TIMEOUT_SECONDS = 60.0
+"""Longest timeout in seconds that a caller may request."""
 
 
 ANSWER_SHARE = 0.05
-"""Share of a caller's time that is kept for the answer's way back."""
+"""Fraction of a caller's timeout that is reserved for returning the response."""
 
 ANSWER_MARGIN = 0.02
-"""Seconds that are kept for the answer's way back at most."""
+"""Maximum time in seconds that is reserved for returning the response."""
 
 
 def for_answer(now: float, allowed: float) -> float:
-    """Set the time by which a front answers, so that its caller has the answer in time.
+    """Return the time by which a front must respond for the response to reach its caller in time.
 
     Args:
-        now: When the request was read, in seconds.
+        now: Time in seconds at which the request was read.
         allowed: Seconds that the caller waits.
 
     Returns:
-        The deadline, on the same clock.
+        The deadline in seconds, on the same clock.
     """
     return now + allowed - min(ANSWER_MARGIN, ANSWER_SHARE * allowed)
 
 
 def for_next_hop(deadline: float, one_way: float) -> float:
-    """Reduce a deadline for the process that is asked next.
+    """Return the deadline for a request that is forwarded to the next process.
 
     Args:
-        deadline: When this process must answer, in seconds on its clock.
-        one_way: Seconds that a message takes to the next process.
+        deadline: Time in seconds, on this process's clock, by which this process must respond.
+        one_way: Seconds that a message takes to reach the next process.
 
     Returns:
-        The latest time, on this process's clock, at which the next one should answer.
+        The latest time in seconds, on this process's clock, for the next process to respond.
     """
     return deadline - one_way - HOP_MARGIN
 
 
 def remaining(deadline: float, now: float) -> float:
-    """Say how much time is left.
+    """Return the time left until a deadline.
 
     Args:
-        deadline: A time in seconds.
-        now: The present, on the same clock.
+        deadline: The deadline in seconds.
+        now: Current time in seconds, on the same clock.
 
     Returns:
         Seconds, never negative.
--- a/src/lineworks/decisions/extra_attempts.py
+++ b/src/lineworks/decisions/extra_attempts.py
@@ -1,24 +1,25 @@
-"""How many attempts beyond the first of each request a service may get.
+"""Limits the attempts that a service may receive beyond the first attempt of each request.
 
-The allowance holds for all instances together over any window of time: a share of the requests plus
-a fixed number. Attempts that a target refused count.
+The allowance applies to all instances together, in any window of time: a share of the requests plus
+a fixed number. Attempts that a target refused count as well.
 
-Each instance spends the share of the requests that it took itself. The fixed number is held
-together as credit: every instance earns an equal part of it as time passes, and the credit of a
-data hall gathers at one instance, its keeper, which grants it where it is needed. Divided among 195
-instances the fixed number left each one attempt a shard and window, and while 15 of 100 targets
-were slow half of all searches came late; gathered by hall it is 32 of them.
+Each instance spends the share of the requests that it received itself. The fixed number is pooled
+as credit. Every instance earns an equal part of it over time, and the credit of a data hall is
+collected by one of its instances, the keeper, which grants it where it is needed. Divided evenly
+among 195 instances, the fixed number left each of them one attempt per shard and window: with 15 of
+100 targets slow, half of all searches were late. Pooled by hall, each hall has 32 attempts.
 
-What makes this safe without agreement on who the keeper is:
+This is safe without agreement on which instance is the keeper, for two reasons:
 
-- Credit is only ever earned, handed over or spent, never copied. A message that is lost loses
-  credit, and an instance that restarts begins with none.
-- Credit ends: `HOLD_SECONDS` where it is earned, `POOL_SECONDS` at a keeper and `GRANT_SECONDS`
-  where it is granted. Each receiver counts from the moment at which it asked, so a message that was
-  held up brings credit that is over.
+- Credit is earned, transferred or spent, but never copied. A lost message loses credit, and an
+  instance that restarts has none.
+- Credit expires: after `EARNED_TTL_SECONDS` where it is earned, `POOL_TTL_SECONDS` at a keeper and
+  `GRANT_TTL_SECONDS` where it is granted. Each receiver counts from the time of its own request, so
+  credit in a delayed message arrives expired.
 
-So what is spent in any window was earned in it or within these times before it, and the rate of
-earning follows from that (`Allowance.rate`). Two keepers in one hall share what there is.
+So the credit spent in any window was earned in that window or within these times before it. This
+determines the rate at which credit is earned (`Allowance.rate`). If a hall has two keepers, they
+divide the hall's credit between them.
 """
 
 from __future__ import annotations
@@ -29,59 +30,61 @@
 from lineworks.decisions import credit, instance_count
 
 BUCKETS = 20
-"""Pieces that the window of the share is counted in."""
+"""Number of buckets into which the window is divided for counting requests and attempts."""
 
-SHARE_IN_USE = 0.95
-"""Part of the allowed share that is used, because requests and attempts near the edge of a window
-may be counted on different sides of it."""
+USABLE_SHARE = 0.95
+"""Fraction of the allowed share that is used, because a request and its attempts may fall on
+different sides of a window's boundary."""
 
-SLACK_IN_USE = 0.8
-"""Part of the fixed number that is used. The rest is left for attempts that reach their target
-later than others which were sent after them, and for instances that are not known yet."""
+USABLE_SLACK = 0.8
+"""Fraction of the fixed number that is used. The rest covers attempts that reach their target after
+others that were sent later, and instances that are not known yet."""
 
-HOLD_SECONDS = 5.0
-"""Seconds for which an instance keeps credit that nobody asked it for: what a hall can spend at
-once when targets begin to fail. Mean worth of a fleet of 60 in memory in the five seconds after 15
-of 100 targets turn slow (`bench.fleet`, three seeds, a tenth kept from hedges): 0.933 with 5
-seconds here and 3 at the keeper, 0.914 with 3 and 2."""
+EARNED_TTL_SECONDS = 5.0
+"""Seconds for which an instance keeps earned credit that no keeper has collected. This bounds the
+credit that a hall can spend at once when targets start to fail. In an in-memory fleet of 60
+(`bench.fleet`, three seeds, a tenth reserved for retries), the mean value of responses in the five
+seconds after 15 of 100 targets turned slow was 0.933 with 5 seconds here and 3 at the keeper, and
+0.914 with 3 and 2."""
 
-POOL_SECONDS = 3.0
-"""Seconds for which a keeper keeps credit: a few rounds of collecting it."""
+POOL_TTL_SECONDS = 3.0
+"""Seconds for which a keeper keeps collected credit: a few rounds of collection."""
 
-GRANT_SECONDS = 0.25
-"""Seconds for which granted credit is of use, from the moment at which it was asked for: the
-message and the next look at what is late take less."""
+GRANT_TTL_SECONDS = 0.25
+"""Seconds for which granted credit can be spent, from the time at which it was requested. The
+message and the next check for late attempts take less."""
 
-KEPT_FROM_HEDGES = 0.25
-"""Part of the allowance that hedges leave for retries: an attempt after a failed one is worth more
-than a second one beside a slow one, and a search without it fails whole. With a tenth, 25 searches
-of 95 failed instead of 16 while targets lost their answers, in one play with 62 instances."""
+RESERVED_FOR_RETRIES = 0.25
+"""Fraction of the allowance that hedges leave for retries. A retry after a failed attempt is worth
+more than a hedge beside a slow one, because a search that cannot retry fails as a whole. In one run
+with 62 instances while targets lost their responses, 25 of 95 searches failed with a tenth reserved
+and 16 with a quarter."""
 
 _ROUNDING = 1e-9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Allowance:
-    """What all instances together may spend on one service."""
+    """The extra attempts that all instances together may send to one service."""
 
     share: float = 0.2
-    """Extra attempts for each request."""
+    """Extra attempts per request."""
 
     slack: float = 50.0
-    """Extra attempts besides."""
+    """Fixed number of extra attempts per window, in addition to the share."""
 
     window: float = 10.0
     """Length of the window in seconds."""
 
     @property
     def rate(self) -> float:
-        """Credit that all instances together earn in a second, for each service."""
-        longest_life = HOLD_SECONDS + POOL_SECONDS + GRANT_SECONDS
-        return self.slack * SLACK_IN_USE / (self.window + longest_life)
+        """Credit per second that all instances together earn, for each service."""
+        longest_life = EARNED_TTL_SECONDS + POOL_TTL_SECONDS + GRANT_TTL_SECONDS
+        return self.slack * USABLE_SLACK / (self.window + longest_life)
 
 
 class _Counts:
-    """Requests of one service in the last window, and what their share was spent on, in buckets."""
+    """Requests to one service and attempts spent from their share, per bucket of the window."""
 
     __slots__ = ("epoch", "extras", "requests")
 
@@ -91,7 +94,7 @@
         self.extras = [0.0] * (BUCKETS + 1)
 
     def advance(self, epoch: int) -> None:
-        """Empty the buckets that fell out of the window."""
+        """Clear the buckets that are no longer in the window."""
         steps = min(epoch - self.epoch, BUCKETS + 1)
         for step in range(steps):
             slot = (epoch - step) % (BUCKETS + 1)
@@ -101,131 +104,131 @@
 
 
 class ExtraAttempts:
-    """The extra attempts of one instance, and those that it keeps for others."""
+    """The extra attempts of one instance, and the credit that it holds as a keeper."""
 
     def __init__(self, allowance: Allowance, now: float) -> None:
-        """Start with nothing counted and no credit.
+        """Initialize without counts or credit.
 
         Args:
-            allowance: What all instances together may spend.
-            now: The present, in seconds.
+            allowance: The extra attempts that all instances together may send.
+            now: Current time in seconds.
         """
         self._allowance = allowance
         self._services: dict[str, _Counts] = {}
-        self._held_since = now
-        self._pool = credit.Credit(POOL_SECONDS)
+        self._earning_since = now
+        self._pool = credit.ExpiringCredit(POOL_TTL_SECONDS)
         self._grants: dict[str, collections.deque[float]] = {}
         self.instances = instance_count.InstanceCount()
-        """Instances that share the fixed number."""
+        """Number of instances that share the fixed number of attempts."""
         self.spent = 0
-        """Extra attempts sent since the start."""
+        """Extra attempts sent since the instance started."""
 
     def note_request(self, service: str, now: float) -> None:
         """Count a caller's request to a service.
 
         Args:
             service: The service.
-            now: The present, in seconds.
+            now: Current time in seconds.
         """
         counts = self._counts(service, now)
         counts.requests[counts.epoch % (BUCKETS + 1)] += 1
 
-    def spend(self, service: str, now: float, kept: float = 0.0) -> bool:
-        """Take one extra attempt, if one is left here.
+    def spend(self, service: str, now: float, reserved: float = 0.0) -> bool:
+        """Spend one extra attempt if one is available.
 
-        Granted credit goes first, because it ends first; then the share of the own requests, made
-        up with credit that this instance keeps.
+        Granted credit is spent first because it expires first, then the share of this instance's
+        own requests, supplemented with credit from the pool.
 
         Args:
             service: The service.
-            now: The present, in seconds.
-            kept: Part of the allowance (0 to 1) that is left for others.
+            now: Current time in seconds.
+            reserved: Fraction (0 to 1) of the allowance that must remain for other uses.
 
         Returns:
-            Whether it may be sent.
+            True if the attempt may be sent.
         """
         if self._use_grant(service, now):
             self.spent += 1
             return True
         counts = self._counts(service, now)
-        from_share = min(1.0, max(0.0, self._share_left(counts, kept)))
+        from_share = min(1.0, max(0.0, self._share_remaining(counts, reserved)))
         from_pool = 1.0 - from_share
-        if from_pool > _ROUNDING and not self._pool.take(service, from_pool, now, kept):
+        if from_pool > _ROUNDING and not self._pool.take(service, from_pool, now, reserved):
             return False
         counts.extras[counts.epoch % (BUCKETS + 1)] += from_share
         self.spent += 1
         return True
 
-    def hand_over(self, now: float) -> float:
-        """Give away the credit that this instance earned and that nobody asked it for yet.
+    def withdraw_earned(self, now: float) -> float:
+        """Withdraw the credit that this instance earned since the last withdrawal.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            Credit for every service; none while it is not known how many instances share.
+            Credit for every service; 0 while the number of instances is unknown.
         """
-        held = min(now - self._held_since, HOLD_SECONDS)
-        self._held_since = now
+        earning_seconds = min(now - self._earning_since, EARNED_TTL_SECONDS)
+        self._earning_since = now
         instances = self.instances.value(now)
-        return held * self._allowance.rate / instances if instances else 0.0
+        return earning_seconds * self._allowance.rate / instances if instances else 0.0
 
-    def take_in(self, amount: float, at: float, now: float) -> None:
-        """Keep credit that an instance handed over.
+    def deposit(self, amount: float, at: float, now: float) -> None:
+        """Add credit that was withdrawn from an instance to the pool.
 
         Args:
             amount: Credit for every service.
-            at: When it was asked for, in seconds.
-            now: The present, in seconds.
+            at: Time in seconds at which the credit was requested.
+            now: Current time in seconds.
         """
         self._pool.add(amount, at, now)
 
-    def grant(self, service: str, now: float, kept: float = 0.0) -> bool:
-        """Take one extra attempt out of the credit kept here, for another instance.
+    def grant(self, service: str, now: float, reserved: float = 0.0) -> bool:
+        """Spend credit from the pool on one extra attempt of another instance.
 
         Args:
             service: The service.
-            now: The present, in seconds.
-            kept: Part of the credit (0 to 1) that is left for others.
+            now: Current time in seconds.
+            reserved: Fraction (0 to 1) of the credit that must remain for other uses.
 
         Returns:
-            Whether there was one.
+            True if there was enough credit.
         """
-        return self._pool.take(service, 1.0, now, kept)
+        return self._pool.take(service, 1.0, now, reserved)
 
-    def accept(self, service: str, until: float) -> None:
-        """Take one extra attempt that a keeper granted.
+    def accept_grant(self, service: str, until: float) -> None:
+        """Add one extra attempt that a keeper granted.
 
         Args:
             service: The service.
-            until: When it ends, in seconds.
+            until: Time in seconds at which the grant expires.
         """
         self._grants.setdefault(service, collections.deque()).append(until)
 
-    def left(self, service: str, now: float) -> float:
-        """Tell how many extra attempts are left here.
+    def remaining(self, service: str, now: float) -> float:
+        """Return the number of extra attempts that this instance can spend.
 
         Args:
             service: The service.
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            A number of attempts.
+            Number of extra attempts, possibly fractional.
         """
         granted = sum(1 for until in self._grants.get(service, ()) if now < until)
-        own = self._share_left(self._counts(service, now), 0.0)
-        return granted + own + self._pool.left(service, now)
+        own = self._share_remaining(self._counts(service, now), 0.0)
+        return granted + own + self._pool.remaining(service, now)
 
     def least_left(self, now: float) -> float:
-        """Tell what is left to the service that has the fewest extra attempts left.
+        """Return the extra attempts left for the service that has the fewest.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            A number of attempts; 0 while no service was asked for.
+            Number of extra attempts, possibly fractional; 0 until a service is first requested.
         """
-        return min((self.left(service, now) for service in self._services), default=0.0)
+        return min((self.remaining(service, now) for service in self._services), default=0.0)
 
     def _use_grant(self, service: str, now: float) -> bool:
         grants = self._grants.get(service)
@@ -234,12 +237,12 @@
                 return True
         return False
 
-    def _share_left(self, counts: _Counts, kept: float) -> float:
+    def _share_remaining(self, counts: _Counts, reserved: float) -> float:
         # The oldest bucket is partly outside the window, so its requests do not count.
         oldest = (counts.epoch + 1) % (BUCKETS + 1)
         requests = sum(counts.requests) - counts.requests[oldest]
-        limit = self._allowance.share * SHARE_IN_USE * requests
-        return limit * (1.0 - kept) - sum(counts.extras)
+        limit = self._allowance.share * USABLE_SHARE * requests
+        return limit * (1.0 - reserved) - sum(counts.extras)
 
     def _counts(self, service: str, now: float) -> _Counts:
         epoch = int(now * BUCKETS / self._allowance.window)
--- a/src/lineworks/decisions/fair_shares.py
+++ b/src/lineworks/decisions/fair_shares.py
@@ -1,11 +1,13 @@
-"""Who goes next where there isn't room for all, and who leaves the last extra attempts to others.
+"""Orders waiting requests when capacity is short, and limits who spends the last extra attempts.
 
-Room is shared between workspaces first, each by what it asks: one that was served clearly less
-often than all lately goes before the others, whatever its priority, so that nothing starves. Among
-the rest priority decides, then who got least. No part is reserved, so no room idles.
+Capacity is first shared between workspaces in proportion to their demand. A workspace that has
+recently been served clearly less often than average goes first, whatever its priority, so that no
+workspace starves. Among the others the order is by priority, then by how much each workspace was
+served. No capacity is reserved, so none is left idle.
 
-Each front and each gatherer decides for itself, by what it saw: requests with a key come in through
-all instances alike, and one that starts again treats all alike until it has seen some.
+Each front and each gatherer decides by itself from what it has observed. This works because
+requests with a key arrive evenly at all instances. An instance that restarts treats all workspaces
+equally until it has observed some requests.
 """
 
 from __future__ import annotations
@@ -13,248 +15,249 @@
 import dataclasses
 import math
 
-HALF_LIFE = 10.0
-"""Seconds after which a request that was asked or served counts half: callers ask again within
-seconds, and what a workspace took a minute ago is no reason to turn it away now."""
+HALF_LIFE_SECONDS = 10.0
+"""Seconds after which a past request counts half. Callers retry within seconds, and what a
+workspace used a minute ago is no reason to refuse it now."""
 
-LEAST_SERVED = 0.85
-"""How often a workspace with a quota is served at least, for what it asks, relative to all: its
-quota says what it may ask, so whatever is within it is due like that of others. Below four fifths
-its callers would notice a shortage that others don't; the rest is for what this instance has yet
-to see."""
+MIN_SERVED_RATIO = 0.85
+"""Minimum fraction of requests served for a workspace with a quota, relative to the average. Its
+quota limits its demand, so everything within the quota has the same claim as the requests of
+others. Below 0.8 its callers would notice a shortage that others do not; the rest allows for
+requests that this instance has not observed yet."""
 
-LEAST_WITHOUT_QUOTA = 0.5
-"""The same of a workspace without a quota, which may ask for any amount: if it were due in full,
-one that asks ever more would push the others out. Half as often as all isn't shut out."""
+MIN_SERVED_RATIO_WITHOUT_QUOTA = 0.5
+"""The same for a workspace without a quota, whose demand is unlimited. With a ratio near 1 it could
+push out the others by sending ever more requests; half the average does not shut it out."""
 
-AGEING_SECONDS = 0.2
-"""Seconds of waiting that count as one priority, so that a long request comes to its turn beside a
-stream of urgent ones of its own workspace. Requests wait for a fifth of their aim at most, so only
-those with aims above a second age at all: between others who got least lately decides."""
+AGING_SECONDS = 0.2
+"""Seconds of waiting that raise a request by one priority level, so that a long request gets its
+turn despite a stream of urgent requests from its own workspace. A request waits for at most a fifth
+of its latency target, so only requests with targets above a second are raised at all. Between
+workspaces, the one that was served least goes first."""
 
-LEAST_SPENT = 4.0
-"""Extra attempts at one service spent lately below which no workspace counts as having spent too
-much: single ones tell nothing."""
+MIN_SPENT_ATTEMPTS = 4.0
+"""Recent extra attempts at one service below which a workspace is never overspending, because so
+few show no pattern."""
 
-FAR_MORE = 1.5
-"""Multiple of an equal part of the extra attempts from which on a workspace spent far more. Above
-one, because shards fail under whoever asks just then; below two, because one of two workspaces
-could never reach that."""
+OVERSPENDING_FACTOR = 1.5
+"""Multiple of an equal part of the extra attempts above which a workspace is overspending. It is
+above 1 because shards fail for whichever workspace is sending at the time, and below 2 because one
+of two workspaces could never exceed that."""
 
-LEAST_OF_USUAL = 0.5
-"""Part of the usual time of a service that a request takes at least: the usual time holds pauses
-and waiting at targets, which it may be spared."""
+MIN_DURATION_FACTOR = 0.5
+"""Shortest expected duration of a request, as a fraction of its service's usual duration. The usual
+duration includes pauses and queueing at targets, which a request may avoid."""
 
-_TRACE = 0.05
-"""Requests below which a workspace is forgotten: one that asked once has left for good, or asks
-less than once in 43 seconds."""
+_FORGET_BELOW = 0.05
+"""Decayed number of requests below which a workspace is forgotten: one request falls below it after
+43 seconds, so the workspace has left or sends less than one request in that time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Claim:
-    """What decides about the place of one that waits for room."""
+class WaitingRequest:
+    """The properties of a waiting request that determine its place in the order."""
 
     workspace: str
-    """Name of the workspace; empty where the request has none."""
+    """Name of the workspace; empty if the request has none."""
 
     priority: int
-    """Rank; 0 is the most urgent."""
+    """Priority; 0 is the most urgent."""
 
     arrived: float
-    """When it came, in seconds."""
+    """Arrival time in seconds."""
 
     in_time_until: float
-    """Until when it must be sent to be usually in time, in seconds."""
+    """Latest time in seconds at which it can be sent and usually still be answered in time."""
 
     has_quota: bool = False
-    """Whether a quota bounds what its workspace asks."""
+    """Whether its workspace has a quota."""
 
-    def can_be_in_time(self, now: float) -> bool:
-        """Say whether it is usually in time when it is sent now."""
+    def can_finish_in_time(self, now: float) -> bool:
+        """Return whether the request is usually answered in time if it is sent now."""
         return now <= self.in_time_until
 
 
-class _Decaying:
-    """Amounts by workspace that halve with time, and their sum."""
+class _DecayingCounts:
+    """Counts by workspace that decay exponentially, and their sum."""
 
-    __slots__ = ("_amounts", "_at")
+    __slots__ = ("_counts", "_updated_at")
 
     def __init__(self) -> None:
-        self._amounts: dict[str, float] = {}
-        self._at = 0.0
+        self._counts: dict[str, float] = {}
+        self._updated_at = 0.0
 
     @property
     def count(self) -> int:
-        """Workspaces that are remembered."""
-        return len(self._amounts)
+        """Number of workspaces with a count."""
+        return len(self._counts)
 
     @property
     def total(self) -> float:
-        """The sum of all, by the time of the last `advance`."""
-        return sum(self._amounts.values())
+        """Sum of all counts, as of the last call of `advance`."""
+        return sum(self._counts.values())
 
     def advance(self, now: float) -> None:
-        """Let all amounts decay, and forget what is next to nothing."""
-        if now <= self._at:
+        """Decay all counts up to a time, and drop negligible ones."""
+        if now <= self._updated_at:
             return
-        factor = 0.5 ** ((now - self._at) / HALF_LIFE)
-        self._at = now
-        decayed = {name: amount * factor for name, amount in self._amounts.items()}
-        self._amounts = {name: amount for name, amount in decayed.items() if amount > _TRACE}
+        factor = 0.5 ** ((now - self._updated_at) / HALF_LIFE_SECONDS)
+        self._updated_at = now
+        decayed = {name: count * factor for name, count in self._counts.items()}
+        self._counts = {name: count for name, count in decayed.items() if count > _FORGET_BELOW}
 
     def add(self, workspace: str, now: float) -> None:
-        """Count one more."""
+        """Increment the count of a workspace."""
         self.advance(now)
-        self._amounts[workspace] = self._amounts.get(workspace, 0.0) + 1.0
+        self._counts[workspace] = self._counts.get(workspace, 0.0) + 1.0
 
     def of(self, workspace: str) -> float:
-        """Tell the amount of one, by the time of the last `advance`."""
-        return self._amounts.get(workspace, 0.0)
+        """Return the count of a workspace, as of the last call of `advance`."""
+        return self._counts.get(workspace, 0.0)
 
 
-class Shares:
-    """What each workspace asked, got and spent lately, as one instance saw it."""
+class FairShares:
+    """Recent requests and extra attempts of each workspace, as observed by one instance."""
 
     def __init__(self) -> None:
-        """Start with nothing seen: all are alike."""
-        self._asked = _Decaying()
-        self._served = _Decaying()
-        self._spent: dict[str, _Decaying] = {}
+        """Initialize without observations, so that all workspaces are equal."""
+        self._requested = _DecayingCounts()
+        self._served = _DecayingCounts()
+        self._spent: dict[str, _DecayingCounts] = {}
 
     def note_served(self, workspace: str, now: float) -> None:
-        """Count a request that found room.
+        """Count a request that was served.
 
         Args:
-            workspace: Its workspace.
-            now: The present, in seconds.
+            workspace: Name of its workspace.
+            now: Current time in seconds.
         """
-        self._asked.add(workspace, now)
+        self._requested.add(workspace, now)
         self._served.add(workspace, now)
 
     def note_refused(self, workspace: str, now: float) -> None:
-        """Count a request within its workspace's quota that found no room.
+        """Count a request that was refused for lack of capacity, although within its quota.
 
         Args:
-            workspace: Its workspace.
-            now: The present, in seconds.
+            workspace: Name of its workspace.
+            now: Current time in seconds.
         """
-        self._asked.add(workspace, now)
+        self._requested.add(workspace, now)
 
     def note_spent(self, workspace: str, service: str, now: float) -> None:
         """Count an extra attempt.
 
         Args:
-            workspace: The workspace of its request.
-            service: The service that was asked.
-            now: The present, in seconds.
+            workspace: Name of the workspace whose request it was for.
+            service: The service that received it.
+            now: Current time in seconds.
         """
         spent = self._spent.get(service)
         if spent is None:
-            self._forget_spent(now)
-            spent = self._spent[service] = _Decaying()
+            self._drop_unused_services(now)
+            spent = self._spent[service] = _DecayingCounts()
         spent.add(workspace, now)
 
-    def order(self, claims: list[Claim], now: float) -> list[int]:
-        """Say in which order those that wait are tried.
+    def order(self, requests: list[WaitingRequest], now: float) -> list[int]:
+        """Return the order in which waiting requests are tried.
 
         Args:
-            claims: One for each, in any order.
-            now: The present, in seconds.
+            requests: The waiting requests, in any order.
+            now: Current time in seconds.
 
         Returns:
-            Their positions, the first to be tried first.
+            Their indices; the request to try first comes first.
         """
         self._advance(now)
-        return sorted(range(len(claims)), key=lambda place: self._rank(claims[place], now))
+        return sorted(range(len(requests)), key=lambda index: self._rank(requests[index], now))
 
-    def goes_before(self, first: Claim, second: Claim, now: float) -> bool:
-        """Say whether one that waits is tried before another one.
+    def precedes(self, first: WaitingRequest, second: WaitingRequest, now: float) -> bool:
+        """Return whether one waiting request is tried before another.
 
         Args:
-            first: The one.
-            second: The other.
-            now: The present, in seconds.
+            first: The one request.
+            second: The other request.
+            now: Current time in seconds.
 
         Returns:
-            Whether it is.
+            True if `first` is tried before `second`.
         """
         self._advance(now)
         return self._rank(first, now) < self._rank(second, now)
 
-    def spent_far_more(self, workspace: str, service: str, now: float) -> bool:
-        """Say whether a workspace spent far more than an equal part of a service's extra attempts.
+    def is_overspending(self, workspace: str, service: str, now: float) -> bool:
+        """Return whether a workspace spent much more than an equal part of a service's attempts.
 
         Args:
-            workspace: The workspace.
+            workspace: Name of the workspace.
             service: The service.
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            Whether it should leave the last of them to the others that asked something lately.
+            True if it should leave the last extra attempts to the other active workspaces.
         """
         spent = self._spent.get(service)
         if spent is None:
             return False
         spent.advance(now)
-        self._asked.advance(now)
+        self._requested.advance(now)
         own = spent.of(workspace)
-        part = spent.total / max(1, self._asked.count)
-        return own >= LEAST_SPENT and own > FAR_MORE * part
+        equal_part = spent.total / max(1, self._requested.count)
+        return own >= MIN_SPENT_ATTEMPTS and own > OVERSPENDING_FACTOR * equal_part
 
     def _advance(self, now: float) -> None:
-        self._asked.advance(now)
+        self._requested.advance(now)
         self._served.advance(now)
 
-    def _forget_spent(self, now: float) -> None:
-        """Forget the services at which nothing was spent lately."""
+    def _drop_unused_services(self, now: float) -> None:
+        """Drop the services that received no extra attempts recently."""
         for service, spent in list(self._spent.items()):
             spent.advance(now)
             if not spent.count:
                 del self._spent[service]
 
-    def _rank(self, claim: Claim, now: float) -> tuple[bool, bool, int, float, float]:
-        """Make what is compared; the smaller goes first."""
-        aged = claim.priority - (now - claim.arrived) / AGEING_SECONDS
+    def _rank(self, request: WaitingRequest, now: float) -> tuple[bool, bool, int, float, float]:
+        """Return the sort key of a request; the smallest goes first."""
+        aged_priority = request.priority - (now - request.arrived) / AGING_SECONDS
         return (
-            not claim.can_be_in_time(now),
-            not self._is_short(claim),
-            math.ceil(aged),
-            self._served.of(claim.workspace),
-            claim.arrived,
+            not request.can_finish_in_time(now),
+            not self._is_underserved(request),
+            math.ceil(aged_priority),
+            self._served.of(request.workspace),
+            request.arrived,
         )
 
-    def _is_short(self, claim: Claim) -> bool:
-        """Say whether a workspace was served clearly less often than all."""
-        asked = self._asked.of(claim.workspace)
-        total = self._asked.total
-        if not asked or not total:
+    def _is_underserved(self, request: WaitingRequest) -> bool:
+        """Return whether a request's workspace was served clearly less often than average."""
+        requested = self._requested.of(request.workspace)
+        total = self._requested.total
+        if not requested or not total:
             return False
-        often = self._served.total / total
-        least = LEAST_SERVED if claim.has_quota else LEAST_WITHOUT_QUOTA
-        return self._served.of(claim.workspace) / asked < least * often
+        average = self._served.total / total
+        min_ratio = MIN_SERVED_RATIO if request.has_quota else MIN_SERVED_RATIO_WITHOUT_QUOTA
+        return self._served.of(request.workspace) / requested < min_ratio * average
 
 
 def latest_start(due: float, usual: float) -> float:
-    """Tell until when a request can be sent and still be in time.
+    """Return the latest time at which a request can be sent and still be answered in time.
 
     Args:
-        due: When its answer is due, in seconds.
-        usual: How long its service usually takes, in seconds; 0 when unknown.
+        due: Time in seconds at which its response is due.
+        usual: Usual duration of its service's requests in seconds; 0 if unknown.
 
     Returns:
-        A time, in seconds.
+        Time in seconds.
     """
-    return due - LEAST_OF_USUAL * usual
+    return due - MIN_DURATION_FACTOR * usual
 
 
-def spread_pause(pause: float, draw: float) -> float:
-    """Spread the return of callers that are refused at one moment.
+def jitter_pause(pause: float, draw: float) -> float:
+    """Add jitter to a retry pause, so that callers refused together do not retry together.
 
     Args:
-        pause: Seconds after which one caller should come again.
+        pause: Seconds after which a caller should retry.
         draw: A random number from 0 to 1.
 
     Returns:
-        Seconds, between half of the pause and one and a half, so that its mean stays.
+        Seconds, between half the pause and one and a half times the pause; its mean is unchanged.
     """
     return pause * (0.5 + draw)
--- a/src/lineworks/decisions/fingerprints.py
+++ b/src/lineworks/decisions/fingerprints.py
@@ -1,6 +1,6 @@
-"""Tells whether two tries ask for the same: the identity of what a request asks.
+"""Fingerprints of requests, which show whether two requests ask for the same.
 
-Each try of a caller has an identity of its own, so it doesn't show that a request came before.
+Request IDs cannot show this: a caller that retries sends a new ID with each attempt.
 """
 
 from __future__ import annotations
@@ -8,23 +8,24 @@
 import hashlib
 
 FINGERPRINT_BYTES = 12
-"""Bytes of a fingerprint: among a million requests two share one by chance once in 10^17."""
+"""Length of a fingerprint in bytes. The probability that any two of a million requests collide is
+about 1 in 10^17."""
 
 
 def fingerprint(method: bytes, host: bytes, path: bytes, caller: bytes, body: bytes) -> str:
-    """Make the fingerprint of a request.
+    """Compute the fingerprint of a request.
 
     Args:
-        method: Its method.
-        host: Host that it names.
-        path: Path with the query.
-        caller: Who asks, as far as the request says; empty where it doesn't.
-        body: Its body.
+        method: The HTTP method.
+        host: The requested host.
+        path: The path, including the query string.
+        caller: The caller's credentials; empty if the request has none.
+        body: The request body.
 
     Returns:
-        Hexadecimal digits, the same for requests that ask for the same.
+        Hexadecimal digits, equal for requests that ask for the same.
     """
-    # Lengths keep parts apart that would read the same one after the other.
+    # The lengths make the concatenation unambiguous.
     lengths = b"%d:%d:%d:%d:" % (len(method), len(host), len(path), len(caller))
     data = b"".join((lengths, method, host, path, caller, body))
     return hashlib.blake2b(data, digest_size=FINGERPRINT_BYTES).hexdigest()
--- a/src/lineworks/decisions/instance_count.py
+++ b/src/lineworks/decisions/instance_count.py
@@ -1,56 +1,57 @@
-"""How many instances share an allowance, as one of them knows it."""
+"""Estimates how many instances share an allowance, from the view of one of them."""
 
 from __future__ import annotations
 
 import collections
 
-COUNT_SECONDS = 300.0
-"""Seconds for which an instance goes on to count others that it has lost sight of. They may live
-behind a cut and spend their part, and regions lose each other for minutes."""
+RETENTION_SECONDS = 300.0
+"""Seconds for which an instance still counts others that it no longer sees. They may be running and
+spending their part behind a network partition, and regions are cut off from each other for
+minutes."""
 
 
 class InstanceCount:
-    """How many instances share the fixed number, counting those that went out of sight lately."""
+    """Number of instances that share a fixed amount, including those that were seen recently."""
 
     def __init__(self) -> None:
         self._seen = 0
-        # Greater counts of the last `COUNT_SECONDS` with the time they held until: falling counts,
-        # rising times.
-        self._before: collections.deque[tuple[int, float]] = collections.deque()
+        # Larger counts of the last `RETENTION_SECONDS`, each with the time until which it held.
+        # Counts are decreasing and times increasing.
+        self._recent_maxima: collections.deque[tuple[int, float]] = collections.deque()
 
     def note(self, count: int, now: float) -> None:
-        """Take in how many instances are seen.
+        """Record how many instances this instance sees.
 
         Args:
-            count: The number, this instance included; 0 while nothing is known.
-            now: The present, in seconds.
+            count: Number of instances, including this one; 0 while it is unknown.
+            now: Current time in seconds.
         """
         self._remember(self._seen, now)
         self._seen = count
 
-    def note_told(self, count: int, now: float) -> None:
-        """Take in how many instances a peer sees.
+    def note_reported(self, count: int, now: float) -> None:
+        """Record how many instances a peer sees.
 
         Args:
-            count: The number.
-            now: The present, in seconds.
+            count: Number of instances.
+            now: Current time in seconds.
         """
         self._remember(count, now)
 
     def value(self, now: float) -> int:
-        """Tell how many instances may spend.
+        """Return how many instances may be spending.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            The number; 0 while nothing is known.
+            The number of instances; 0 while it is unknown.
         """
-        while self._before and now - self._before[0][1] > COUNT_SECONDS:
-            self._before.popleft()
-        return max(self._seen, self._before[0][0]) if self._before else self._seen
+        while self._recent_maxima and now - self._recent_maxima[0][1] > RETENTION_SECONDS:
+            self._recent_maxima.popleft()
+        return max(self._seen, self._recent_maxima[0][0]) if self._recent_maxima else self._seen
 
     def _remember(self, count: int, now: float) -> None:
-        while self._before and self._before[-1][0] <= count:
-            self._before.pop()
-        self._before.append((count, now))
+        while self._recent_maxima and self._recent_maxima[-1][0] <= count:
+            self._recent_maxima.pop()
+        self._recent_maxima.append((count, now))
--- a/src/lineworks/decisions/positions.py
+++ b/src/lineworks/decisions/positions.py
@@ -1,7 +1,7 @@
-"""Places in the history of the platform's store.
+"""Positions in the history of the platform's store.
 
-The store may come back from an older copy of itself. Its revisions then go back and are given out
-again, so a revision means something only together with the era that it was given out in.
+The store may be restored from an older copy of itself. Its revision numbers then go back and are
+assigned again, so a revision is meaningful only together with the era in which it was assigned.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Position:
-    """A revision of the store; the later of two is the greater one, whichever era it is of."""
+    """A revision of the store. Positions are ordered by time, across eras."""
 
     era: int
-    """How often the store had come back from an older copy, as it counts that itself."""
+    """Number of times the store has been restored from an older copy, as counted by the store."""
 
     revision: int
-    """Revision within the era."""
+    """Revision number within the era."""
 
 
 ABSENT = Position(0, 0)
-"""Before everything: of what nothing is known, and of a key that is absent."""
+"""Lower than every other position: the position of an absent key, or of unknown state."""
--- a/src/lineworks/decisions/quota.py
+++ b/src/lineworks/decisions/quota.py
@@ -1,16 +1,18 @@
-"""How many requests a workspace may send through all instances together.
+"""Limits the requests that a workspace may send through all instances together.
 
-The limit holds for all instances together, in every window of time, without agreement between
+The limit applies to all instances together, in every window of time, without agreement between
 them. Each data hall has an equal part of a workspace's tokens, held by one of its instances in a
-`Bucket`. Tokens are earned, moved or spent, never copied: a message that is lost loses them, and
-what is moved, granted or given back counts for a short time only, from the moment at which it was
-asked for.
-
-A holder that starts again, or takes over, begins a new life of the bucket: a full one where no
-other life of the hall can have acted within the window, else one that begins with less and saves
-less. So what is spent in any window is at most what all lives that act within it had at its begin
-or began with, what the halls earned in it, and what was outside the buckets when it began:
-`part_of` makes this fit the bound for `LIVES` lives a hall.
+`Bucket`. Tokens are earned, transferred or spent, but never copied. A lost message loses its
+tokens, and tokens that are transferred, granted or returned are valid only for a short time,
+counted from the time at which they were requested.
+
+When a holder restarts, or another instance takes over, a new bucket replaces the old one; each such
+period is called a life of the hall's bucket. A new bucket starts full if no other life of the hall
+can have been active within the window. Otherwise it starts with fewer tokens and has a smaller
+capacity. So the tokens spent in any window are at most those that all lives active within it had
+at its beginning or started with, those that the halls earned in it, and those that were outside the
+buckets when it began. `part_of` sizes the buckets so that this sum stays within the bound for
+`MAX_LIVES` lives per hall.
 """
 
 from __future__ import annotations
@@ -23,346 +25,357 @@
 if TYPE_CHECKING:
     from lineworks.decisions import workspaces
 
-LIVES = 3
-"""Lives a hall and window that the bound has room for; also how many instances of a hall hold
-tokens at all, so that a cut into many pieces makes no more holders."""
+MAX_LIVES = 3
+"""Number of lives per hall and window that the bound allows for. It is also the number of instances
+of a hall that may hold tokens at all, so that a hall cut into many partitions has no more holders
+than that."""
 
-MOVE_SECONDS = 0.25
-"""Seconds for which tokens from another hall count, from the moment at which they were asked for:
-some round trips between regions."""
+TRANSFER_TTL_SECONDS = 0.25
+"""Seconds for which tokens from another hall are valid, from the time at which they were requested:
+a few round trips between regions."""
 
-RETURN_SECONDS = 0.2
-"""Seconds after a grant within which its token can be given back: most requests that find no target
-end at once."""
+RETURN_WINDOW_SECONDS = 0.2
+"""Seconds after a grant within which its token can be returned. Most requests that find no target
+end immediately."""
 
-GRANT_SECONDS = 0.08
-"""Seconds for which a grant counts, from the moment at which it was asked for."""
+GRANT_TTL_SECONDS = 0.08
+"""Seconds for which a grant is valid, from the time at which it was requested."""
 
-TRANSIT_SECONDS = MOVE_SECONDS + RETURN_SECONDS + GRANT_SECONDS
-"""Seconds for which a token can be outside the buckets."""
+MAX_TRANSIT_SECONDS = TRANSFER_TTL_SECONDS + RETURN_WINDOW_SECONDS + GRANT_TTL_SECONDS
+"""Longest time in seconds for which a token can be outside the buckets."""
 
-HEARD_SECONDS = 2.5
-"""Seconds without a word after which an instance counts as not heard: a heartbeat and some more."""
+LIVENESS_TIMEOUT_SECONDS = 2.5
+"""Seconds without a message after which an instance counts as silent: a little longer than the
+heartbeat interval."""
 
 CHECK_SECONDS = 0.5
-"""Seconds between looks at who is heard of."""
+"""Seconds between checks of which instances are silent."""
 
-TAKEOVER_SECONDS = HEARD_SECONDS + 2 * CHECK_SECONDS
-"""Seconds for which an instance must be silent before the next one earns in its place: by then it
-has noticed as well, if it still runs."""
+TAKEOVER_SECONDS = LIVENESS_TIMEOUT_SECONDS + 2 * CHECK_SECONDS
+"""Seconds for which an instance must be silent before the next one earns tokens in its place. By
+then the silent instance, if it is still running, has also noticed that it is cut off."""
 
-RATE_SECONDS = 10.0
-"""Seconds over which the rate of requests is learnt."""
+RATE_TIME_CONSTANT_SECONDS = 10.0
+"""Time constant in seconds of the moving average of the request rate."""
 
-BURST_ROOM = 1.2
-"""Multiple of a quota's burst that halls save for it together: what lies in other halls than the
-requests takes some messages to come."""
+BURST_HEADROOM = 1.2
+"""Combined capacity of all halls, as a multiple of a quota's burst. The excess over 1 compensates
+for tokens that lie in other halls than the requests, which take a few messages to transfer."""
 
-LEAST_DEPTH = 2.4
-"""Tokens that all halls together can save, where the bound has room for them: two parts, so that
-the loss of one hall doesn't stop a workspace."""
+MIN_TOTAL_DEPTH = 2.4
+"""Minimum combined capacity of all halls in tokens, where the bound allows it: enough for two halls
+with a part, so that the loss of one hall does not stop a workspace."""
 
-LEAST_PART = 1.1
-"""Tokens that a hall with a part can save at least: one, and some so that it goes on earning."""
+MIN_PART_DEPTH = 1.1
+"""Minimum capacity in tokens of a hall with a part: one token, and a little more so that the hall
+keeps earning."""
 
-_WHOLE = 1 - 1e-3
-"""Tokens that count as a whole one, since moved tokens are rounded down. What lacks stays owed."""
+_ONE_TOKEN = 1 - 1e-3
+"""Amount that counts as a whole token, because transferred tokens are rounded down. A full token is
+subtracted when it is spent, so the difference remains as a debt."""
 
 
 class Decision(enum.IntEnum):
-    """What a holder says to a request."""
+    """A holder's decision on a request."""
 
     GRANTED = 0
-    """It has a token for it."""
+    """The holder has spent a token on the request."""
 
-    OVER = 1
-    """There is none."""
+    EXHAUSTED = 1
+    """No token is available."""
 
     UNSURE = 2
-    """It does not hold the hall's tokens."""
+    """The holder cannot tell: it does not hold the hall's tokens, or does not know the limit."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaBound:
-    """What all instances together may let through beyond a quota, in any window of time."""
+    """How far all instances together may exceed a quota in any window of time."""
 
     window: float = 5.0
     """Length of the window in seconds."""
 
     excess: float = 0.0
-    """Share of the quota that may be let through besides."""
+    """Fraction of the quota that may be admitted in addition to it."""
 
     slack: float = 0.0
-    """Requests besides."""
+    """Requests that may be admitted in addition to that."""
 
-    def most(self, quota: workspaces.Quota) -> float:
-        """Tell how many requests may be let through in a window.
+    def max_requests(self, quota: workspaces.Quota) -> float:
+        """Return how many requests may be admitted in a window.
 
         Args:
             quota: The quota.
 
         Returns:
-            Requests, fractions included.
+            Number of requests, possibly fractional.
         """
         return (quota.rate * self.window + quota.burst) * (1 + self.excess) + self.slack
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """What a data hall has of a quota."""
+    """A data hall's part of a quota."""
 
     rate: float
-    """Tokens that it earns in a second."""
+    """Tokens earned per second."""
 
     depth: float
-    """Tokens that it saves at most."""
+    """Capacity of the hall's bucket in tokens."""
 
     holders: int = 1
-    """Halls that have such a part; the others have none, and ask these."""
+    """Number of halls that have such a part; the others have none and request tokens from these."""
 
-    later: float | None = None
-    """Tokens that a life begins with, and saves at most, while others of the hall may act beside it
-    or have acted within the window; None for the whole depth."""
+    restart_depth: float | None = None
+    """Initial tokens and capacity of a bucket while other lives of the hall may be active, or have
+    been active within the window; None for `depth`."""
 
 
 NO_PART = Part(0.0, 0.0)
-"""What a hall has of a quota too small to be divided among all."""
+"""The part of a hall that has none, because the quota is too small to be divided among all."""
 
 
 def part_of(quota: workspaces.Quota, bound: QuotaBound, halls: int) -> Part:
-    """Divide a quota.
+    """Divide a quota among data halls.
 
-    A burst within the quota is saved for as far as the bound has room for it beside later lives,
-    which then begin with less. Where the bound leaves no room for `LIVES` lives beside the rate,
-    the rate is lowered. A hall that saves less than a token could admit nothing alone, so a small
-    quota is divided among fewer.
+    Buckets are sized for the quota's burst as far as the bound also allows for later lives, which
+    then start with fewer tokens. If the bound does not allow `MAX_LIVES` lives at the full
+    rate, the rate is lowered. A hall with a capacity below one token could not admit any request on
+    its own, so a small quota is divided among fewer halls.
 
     Args:
         quota: The quota of all instances together.
-        bound: What they may let through beyond it.
+        bound: How far they may exceed it.
         halls: Number of data halls.
 
     Returns:
         The part of each hall that has one.
     """
-    most = bound.most(quota)
-    seconds = bound.window + TRANSIT_SECONDS
-    room = most - quota.rate * seconds
-    least = min(LEAST_DEPTH, most / (2 * LIVES))
-    # What each life begins with where all begin alike.
-    alike = max(room / LIVES, least)
-    rate = min(quota.rate, (most - LIVES * alike) / seconds)
-    depth = max(alike, min(BURST_ROOM * quota.burst, room - (LIVES - 1) * least))
-    later = min(alike, max(least, (room - depth) / (LIVES - 1)))
-    holders = max(1, min(halls, int(later / LEAST_PART)))
-    return Part(rate / holders, depth / holders, holders, later / holders)
+    allowed = bound.max_requests(quota)
+    seconds = bound.window + MAX_TRANSIT_SECONDS
+    room = allowed - quota.rate * seconds
+    least = min(MIN_TOTAL_DEPTH, allowed / (2 * MAX_LIVES))
+    # Capacity of each life if all lives have the same.
+    equal_depth = max(room / MAX_LIVES, least)
+    rate = min(quota.rate, (allowed - MAX_LIVES * equal_depth) / seconds)
+    depth = max(equal_depth, min(BURST_HEADROOM * quota.burst, room - (MAX_LIVES - 1) * least))
+    restart_depth = min(equal_depth, max(least, (room - depth) / (MAX_LIVES - 1)))
+    holders = max(1, min(halls, int(restart_depth / MIN_PART_DEPTH)))
+    return Part(rate / holders, depth / holders, holders, restart_depth / holders)
 
 
 class Bucket:
-    """The tokens of a workspace in one hall."""
+    """The tokens of one workspace in one hall."""
 
-    def __init__(self, part: Part, now: float, is_first: bool = True) -> None:
-        """Start full, or with what a later life begins with.
+    def __init__(self, part: Part, now: float, is_only_life: bool = True) -> None:
+        """Initialize the bucket with as many tokens as it can hold.
 
         Args:
-            part: What the hall has of the quota.
-            now: The present, in seconds.
-            is_first: Whether no other life of the hall can have acted within the window.
+            part: The hall's part of the quota.
+            now: Current time in seconds.
+            is_only_life: Whether no other life of the hall can have been active within the window.
         """
         self._part = part
-        self._saves_all = is_first
-        self._tokens = self._most
-        self._at = now
+        self._is_only_life = is_only_life
+        self._tokens = self._capacity
+        self._updated_at = now
         self._share = 1.0
-        # Tokens from other halls that had no room: when they end, and how many.
-        self._moved: list[tuple[float, float]] = []
-        # What may yet be given back: when it was granted, and how much of it still counts. Together
-        # with the tokens it is never more than the depth: otherwise requests that fail and come
-        # back would save more and more tokens outside the bucket.
-        self._granted: list[tuple[float, float]] = []
+        # Tokens from other halls that exceeded the capacity: (expiry time, amount).
+        self._overflow: list[tuple[float, float]] = []
+        # Spent tokens that may still be returned: (grant time, amount that can be returned).
+        # Together with the tokens in the bucket they never exceed the capacity. Otherwise requests
+        # that fail and are retried would accumulate tokens outside the bucket.
+        self._returnable: list[tuple[float, float]] = []
 
     @property
     def part(self) -> Part:
-        """What the hall has of the quota."""
+        """The hall's part of the quota."""
         return self._part
 
     @property
-    def _most(self) -> float:
-        """Tokens that it saves at most."""
-        later = self._part.later
-        return self._part.depth if self._saves_all or later is None else later
+    def _capacity(self) -> float:
+        """Capacity of the hall's bucket in tokens."""
+        restart_depth = self._part.restart_depth
+        return self._part.depth if self._is_only_life or restart_depth is None else restart_depth
 
     def tokens(self, now: float) -> float:
-        """Tell how many tokens there are.
+        """Return the number of available tokens.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            Tokens, fractions included.
+            Tokens, possibly fractional.
         """
         self._advance(now)
-        return self._tokens + sum(amount for _, amount in self._moved)
+        return self._tokens + sum(amount for _, amount in self._overflow)
 
     def take(self, now: float) -> bool:
         """Spend a token on a request.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            Whether there was one.
+            True if one was available.
         """
-        if self.tokens(now) < _WHOLE:
+        if self.tokens(now) < _ONE_TOKEN:
             return False
-        self._tokens -= _remove(self._moved, 1.0)
-        self._granted.append((now, 1.0))
-        self._trim()
+        self._tokens -= _consume(self._overflow, 1.0)
+        self._returnable.append((now, 1.0))
+        self._trim_returnable()
         return True
 
     def put_back(self, granted_at: float, now: float) -> bool:
-        """Take a token back whose request certainly did not run.
+        """Return the token of a request that certainly did not run.
 
         Args:
-            granted_at: When it was granted, in seconds.
-            now: The present, in seconds.
+            granted_at: Time in seconds at which the token was granted.
+            now: Current time in seconds.
 
         Returns:
-            Whether it still counted.
+            True if the token could still be returned.
         """
         self._advance(now)
-        for place, (at, amount) in enumerate(self._granted):
+        for index, (at, amount) in enumerate(self._returnable):
             if at == granted_at:
-                del self._granted[place]
+                del self._returnable[index]
                 self._fill(amount)
                 return True
         return False
 
-    def give(self, now: float, wanted: float, most: float = 0.5) -> float:
-        """Hand tokens over to another hall.
+    def transfer_out(self, now: float, wanted: float, max_fraction: float = 0.5) -> float:
+        """Remove tokens for a transfer to another hall.
 
         Args:
-            now: The present, in seconds.
-            wanted: Tokens asked for.
-            most: Share of the own tokens (0 to 1) that is given at most.
+            now: Current time in seconds.
+            wanted: Number of tokens requested.
+            max_fraction: Maximum fraction (0 to 1) of the bucket's tokens to transfer.
 
         Returns:
-            Tokens, fractions included; there are as many less here.
+            Number of tokens removed, possibly fractional.
         """
         self._advance(now)
-        amount = max(0.0, min(wanted, most * self._tokens))
+        amount = max(0.0, min(wanted, max_fraction * self._tokens))
         self._tokens -= amount
         return amount
 
-    def give_whole(self, now: float, wanted: float) -> float:
-        """Hand whole tokens over to a hall that has none of its own to add a part of one to.
+    def transfer_out_whole(self, now: float, wanted: float) -> float:
+        """Remove whole tokens for a transfer to a hall without a part.
+
+        Such a hall has no tokens of its own to which it could add a fraction.
 
         Args:
-            now: The present, in seconds.
-            wanted: Tokens asked for.
+            now: Current time in seconds.
+            wanted: Number of tokens requested.
 
         Returns:
-            Tokens, a whole number; there are as many less here.
+            Number of tokens removed, a whole number.
         """
         self._advance(now)
-        return self.give(now, int(min(wanted, self._tokens)), 1.0)
+        return self.transfer_out(now, int(min(wanted, self._tokens)), 1.0)
 
-    def add(self, amount: float, asked_at: float, now: float) -> None:
-        """Take in tokens of another hall.
+    def transfer_in(self, amount: float, asked_at: float, now: float) -> None:
+        """Add tokens that another hall transferred.
 
         Args:
-            amount: Tokens, fractions included.
-            asked_at: When they were asked for, in seconds.
-            now: The present, in seconds.
+            amount: Number of tokens, possibly fractional.
+            asked_at: Time in seconds at which they were requested.
+            now: Current time in seconds.
         """
         self._advance(now)
-        ends = asked_at + MOVE_SECONDS
-        if amount <= 0 or ends <= now:
+        expires_at = asked_at + TRANSFER_TTL_SECONDS
+        if amount <= 0 or expires_at <= now:
             return
-        kept = self._fill(amount)
-        if amount > kept:
-            self._moved.append((ends, amount - kept))
-            self._moved.sort()
+        filled = self._fill(amount)
+        if amount > filled:
+            self._overflow.append((expires_at, amount - filled))
+            self._overflow.sort()
 
     def seconds_until_next(self, now: float) -> float:
-        """Tell when the hall alone will have earned a whole token.
+        """Return the time until the bucket has a whole token without transfers.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            Seconds; infinite when it never will.
+            Seconds; infinite if it never will.
         """
-        lacking = _WHOLE - self.tokens(now)
-        if lacking <= 0:
+        missing = _ONE_TOKEN - self.tokens(now)
+        if missing <= 0:
             return 0.0
         rate = self._part.rate * self._share
-        return lacking / rate if rate > 0 and self._most >= _WHOLE else math.inf
+        return missing / rate if rate > 0 and self._capacity >= _ONE_TOKEN else math.inf
 
     def set_part(self, part: Part, now: float) -> None:
-        """Change the limit; this begins no new life.
+        """Change the limit without starting a new life.
 
         Args:
-            part: What the hall has of the new quota.
-            now: The present, in seconds.
+            part: The hall's part of the new quota.
+            now: Current time in seconds.
         """
         self._advance(now)
         self._part = part
-        self._tokens = min(self._most, self._tokens)
+        self._tokens = min(self._capacity, self._tokens)
 
     def set_share(self, share: float, now: float) -> None:
-        """Say how much of the hall's rate this holder earns from now on.
+        """Set the fraction of the hall's rate that this holder earns.
 
         Args:
-            share: From 0 to 1.
-            now: The present, in seconds.
+            share: Fraction from 0 to 1.
+            now: Current time in seconds.
         """
         self._advance(now)
         self._share = share
 
-    def set_saving(self, saves_all: bool, now: float) -> None:
-        """Say whether no other life of the hall can act now, or can have acted within the window.
+    def set_is_only_life(self, is_only_life: bool, now: float) -> None:
+        """Set whether this is the only life of the hall that can be active within the window.
 
-        Otherwise it saves no more than a later life begins with, since others may do so as well.
+        Otherwise the capacity is limited to the part's `restart_depth`, since other lives may hold
+        that much as well.
 
         Args:
-            saves_all: Whether it saves for the whole depth of the part.
-            now: The present, in seconds.
+            is_only_life: Whether no other life can be active now, or have been within the window.
+            now: Current time in seconds.
         """
         self._advance(now)
-        self._saves_all = saves_all
-        self._tokens = min(self._most, self._tokens)
+        self._is_only_life = is_only_life
+        self._tokens = min(self._capacity, self._tokens)
 
     def _fill(self, amount: float) -> float:
-        """Add tokens as far as there is room, and tell how many."""
-        added = max(0.0, min(amount, self._most - self._tokens))
+        """Add tokens up to the capacity, and return how many were added."""
+        added = max(0.0, min(amount, self._capacity - self._tokens))
         self._tokens += added
-        self._trim()
+        self._trim_returnable()
         return added
 
-    def _trim(self) -> None:
-        """Let go of what would be given back to a full bucket, the oldest first."""
-        over = self._tokens + sum(amount for _, amount in self._granted) - self._most
-        _remove(self._granted, over)
+    def _trim_returnable(self) -> None:
+        """Drop returnable tokens that would exceed the capacity, the oldest first."""
+        excess = self._tokens + sum(amount for _, amount in self._returnable) - self._capacity
+        _consume(self._returnable, excess)
 
     def _advance(self, now: float) -> None:
-        """Earn what is due by now, and forget what no longer counts."""
-        self._granted = [row for row in self._granted if now - row[0] <= RETURN_SECONDS]
-        self._fill(max(0.0, now - self._at) * self._part.rate * self._share)
-        self._at = max(self._at, now)
-        if self._moved:
-            self._moved = [(ends, amount) for ends, amount in self._moved if ends > now]
+        """Add the tokens earned until now, and drop those that have expired."""
+        self._returnable = [
+            row for row in self._returnable if now - row[0] <= RETURN_WINDOW_SECONDS
+        ]
+        self._fill(max(0.0, now - self._updated_at) * self._part.rate * self._share)
+        self._updated_at = max(self._updated_at, now)
+        if self._overflow:
+            self._overflow = [
+                (expires_at, amount) for expires_at, amount in self._overflow if expires_at > now
+            ]
 
 
-def _remove(rows: list[tuple[float, float]], wanted: float) -> float:
-    """Take tokens out of rows of (time, tokens), the first ones first.
+def _consume(rows: list[tuple[float, float]], wanted: float) -> float:
+    """Remove tokens from rows of (time, tokens), starting with the first row.
 
     Args:
-        rows: The rows; those that are used up are left out afterwards.
-        wanted: Tokens, fractions included.
+        rows: The rows; used-up ones are deleted.
+        wanted: Number of tokens, possibly fractional.
 
     Returns:
-        Tokens that were lacking.
+        Number of tokens that were missing.
     """
     while rows and wanted > 0:
         at, amount = rows.pop(0)
@@ -372,65 +385,66 @@
     return wanted
 
 
-class AskRate:
-    """How often a workspace was asked for lately."""
+class RequestRate:
+    """Moving average of the rate of a workspace's requests."""
 
     def __init__(self) -> None:
-        """Start with no request."""
+        """Initialize the rate to zero."""
         self._value = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def note(self, now: float) -> None:
         """Count a request.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
         """
-        self._value = self.value(now) + 1 / RATE_SECONDS
-        self._at = now
+        self._value = self.value(now) + 1 / RATE_TIME_CONSTANT_SECONDS
+        self._updated_at = now
 
     def value(self, now: float) -> float:
-        """Tell the rate.
+        """Return the current rate.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            Requests a second, the latest ones counted most.
+            Requests per second, weighted towards the most recent ones.
         """
-        return self._value * math.exp((self._at - now) / RATE_SECONDS)
+        return self._value * math.exp((self._updated_at - now) / RATE_TIME_CONSTANT_SECONDS)
 
 
 def wanted(tokens: float, waiting: int, rate: float) -> float:
-    """Say how many tokens a hall should ask the others for.
+    """Return how many tokens a hall should request from the others.
 
     Args:
-        tokens: Its own.
-        waiting: Requests that wait for one.
-        rate: Requests a second that it gets.
+        tokens: Number of tokens that the hall has.
+        waiting: Number of requests that wait for a token.
+        rate: Requests per second that the hall receives.
 
     Returns:
-        Tokens, fractions included: what its requests need now, one at least, and what comes while
-        moved tokens count; more could not be spent before it ends.
+        Number of tokens, possibly fractional, that the hall lacks for its waiting requests (at
+        least one) and those expected while transferred tokens are valid. More would expire unspent.
     """
-    return max(0.0, max(1, waiting) + rate * MOVE_SECONDS - tokens)
+    return max(0.0, max(1, waiting) + rate * TRANSFER_TTL_SECONDS - tokens)
 
 
 def earned_share(rank: int, silent: float, heard: int, known: int) -> float:
-    """Say how much of its hall's rate a holder earns.
+    """Return the fraction of its hall's rate that a holder earns.
 
-    A holder earns in proportion to the instances of its hall that it hears, so that two that are
-    cut off from each other earn no more together than one would. One that stands in for an
-    instance with a better rank earns nothing until that one, if it is cut off, has noticed.
+    A holder earns in proportion to the number of instances of its hall that it hears from, so that
+    two holders that are cut off from each other together earn no more than one would. A holder that
+    takes over from an instance with a better rank earns nothing until that instance, if it is only
+    cut off, has noticed.
 
     Args:
-        rank: Its rank for the workspace among the instances that are known of the hall, 0 first.
-        silent: Seconds since any instance with a better rank was heard of.
-        heard: Instances of the hall that it hears, itself included.
-        known: Instances that are known of the hall, itself included.
+        rank: The holder's rank for the workspace among the known instances of the hall; 0 is best.
+        silent: Seconds since the last message from any instance with a better rank.
+        heard: Number of the hall's instances that the holder hears from, including itself.
+        known: Number of the hall's known instances, including the holder.
 
     Returns:
-        From 0 to 1.
+        A fraction from 0 to 1.
     """
     if rank and silent < TAKEOVER_SECONDS:
         return 0.0
--- a/src/lineworks/decisions/replicas.py
+++ b/src/lineworks/decisions/replicas.py
@@ -209,10 +209,10 @@
         if report.incarnation != self.incarnation:
             self.is_leaving = self.target.is_leaving
             if self.incarnation:
-                self.limit.restart_cold()
+                self.limit.restart_ramp()
             self.incarnation = report.incarnation
         if report.is_cold and not self.is_cold:
-            self.limit.restart_cold()
+            self.limit.restart_ramp()
         self.is_cold = report.is_cold
         self.is_leaving = self.is_leaving or report.is_leaving
         self.disbelieved = {s: until for s, until in self.disbelieved.items() if until > now}
--- a/src/lineworks/decisions/tickets.py
+++ b/src/lineworks/decisions/tickets.py
@@ -1,7 +1,8 @@
-"""Tickets: the right to run one request once, bound to one incarnation of one instance.
+"""Tickets: each one permits a single request to run once.
 
-Only the incarnation that issued a ticket may run it, so no agreement with others is needed. The
-book lives in memory; when its instance goes, unused tickets can never run.
+A ticket is bound to one incarnation of one instance. Only the incarnation that issued a ticket may
+run its request, so no agreement with other instances is needed. Tickets are kept in memory only:
+when the instance stops, its unused tickets can never run.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 _PREFIX = "t1"
 _RANDOM_BITS = 64
 
-LINGER = 120.0
-"""Seconds after its expiry for which a used ticket's outcome is remembered."""
+OUTCOME_RETENTION_SECONDS = 120.0
+"""Seconds after a ticket's expiry for which the outcome of its request is kept."""
 
 
 class TicketError(ValueError):
-    """A text is not a ticket."""
+    """A string is not a valid ticket."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,50 +35,50 @@
     """The parts of a ticket."""
 
     instance: str
-    """Name of the instance that issued it."""
+    """Name of the instance that issued the ticket."""
 
     incarnation: str
     """Identity of that instance's process."""
 
     number: int
-    """Counter of that process."""
+    """Sequence number within that process."""
 
     nonce: str
-    """Random digits, so that a ticket cannot be guessed."""
+    """Random hexadecimal digits, so that a ticket cannot be guessed."""
 
     def __str__(self) -> str:
         return "~".join((_PREFIX, self.instance, self.incarnation, str(self.number), self.nonce))
 
 
 def parse(text: str) -> Ticket:
-    """Read a ticket.
+    """Parse a ticket.
 
     Args:
-        text: As given to the caller.
+        text: The ticket as it was given to the caller.
 
     Returns:
-        Its parts.
+        The parts of the ticket.
 
     Raises:
-        TicketError: The text is not a ticket.
+        TicketError: The text is not a valid ticket.
     """
     parts = text.split("~")
     if len(parts) != 5 or parts[0] != _PREFIX or not parts[3].isdecimal():
-        raise TicketError("not a ticket")
+        raise TicketError("malformed ticket")
     return Ticket(parts[1], parts[2], int(parts[3]), parts[4])
 
 
 class State(enum.Enum):
-    """What a ticket was used for."""
+    """State of a ticket."""
 
     UNUSED = "unused"
-    """Nothing yet."""
+    """The ticket has not been redeemed."""
 
     RUNNING = "running"
-    """Its request is under way."""
+    """Its request is running."""
 
     DONE = "done"
-    """Its request has an outcome."""
+    """Its request has ended, and the outcome is known."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -95,88 +96,88 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """The same request is under way: its outcome will be this one's too."""
+    """The same request is already running: wait for its outcome."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Known(Generic[T]):
-    """The same request ran before."""
+class Replay(Generic[T]):
+    """The same request has already run: return its outcome again."""
 
     outcome: T
-    """Its outcome."""
+    """The outcome."""
 
 
-class TicketBook(Generic[T]):
-    """The tickets that one incarnation has issued."""
+class TicketRegistry(Generic[T]):
+    """The tickets issued by one incarnation of an instance."""
 
     def __init__(self, instance: str, incarnation: str, rng: random.Random) -> None:
-        """Start empty.
+        """Initialize an empty registry.
 
         Args:
             instance: Name of this instance.
             incarnation: Identity of this process.
-            rng: Source of nonces; not predictable in production.
+            rng: Source of nonces; must be unpredictable in production.
         """
         self._instance = instance
         self._incarnation = incarnation
         self._rng = rng
-        self._number = 0
+        self._last_number = 0
         self._entries: dict[str, _Entry[T]] = {}
         self._expiries: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def mint(self, now: float, lifetime: float) -> Ticket:
+    def issue(self, now: float, lifetime: float) -> Ticket:
         """Issue a ticket.
 
         Args:
-            now: The present, in seconds.
-            lifetime: Seconds for which it may be used.
+            now: Current time in seconds.
+            lifetime: Seconds for which the ticket may be redeemed.
 
         Returns:
             The ticket.
         """
-        self._forget(now)
-        self._number += 1
+        self._drop_expired(now)
+        self._last_number += 1
         nonce = f"{self._rng.getrandbits(_RANDOM_BITS):016x}"
-        ticket = Ticket(self._instance, self._incarnation, self._number, nonce)
+        ticket = Ticket(self._instance, self._incarnation, self._last_number, nonce)
         self._entries[str(ticket)] = _Entry(now + lifetime)
-        heapq.heappush(self._expiries, (now + lifetime + LINGER, str(ticket)))
+        heapq.heappush(self._expiries, (now + lifetime + OUTCOME_RETENTION_SECONDS, str(ticket)))
         return ticket
 
     def redeem(
         self, text: str, fingerprint: str, now: float
-    ) -> Run | Wait | Known[T] | verdict.Verdict:
-        """Use a ticket.
+    ) -> Run | Wait | Replay[T] | verdict.Verdict:
+        """Redeem a ticket.
 
         Args:
             text: The ticket.
-            fingerprint: Digest of the request; a ticket serves one request only.
-            now: The present, in seconds.
+            fingerprint: Digest of the request; a ticket is valid for one request only.
+            now: Current time in seconds.
 
         Returns:
-            What to do; a verdict when the request must not run.
+            What to do with the request; a verdict if it must not run.
         """
         entry = self._entries.get(text)
         if entry is None:
-            return verdict.not_run(verdict.Reason.TICKET_UNKNOWN, "not issued here, or forgotten")
+            return verdict.not_run(verdict.Reason.TICKET_UNKNOWN, "ticket unknown to this process")
         if entry.state is State.UNUSED:
             if now >= entry.expires:
-                return verdict.not_run(verdict.Reason.TICKET_EXPIRED, "the ticket's time is over")
+                return verdict.not_run(verdict.Reason.TICKET_EXPIRED, "ticket has expired")
             entry.state = State.RUNNING
             entry.fingerprint = fingerprint
             return Run()
         if entry.fingerprint != fingerprint:
-            detail = "the ticket was used for another request"
+            detail = "ticket was already used for a different request"
             return verdict.not_run(verdict.Reason.TICKET_USED, detail)
         if entry.state is State.RUNNING:
             return Wait()
         assert entry.outcome is not None
-        return Known(entry.outcome)
+        return Replay(entry.outcome)
 
-    def settle(self, text: str, outcome: T) -> None:
-        """Note the outcome of a ticket's request.
+    def record_outcome(self, text: str, outcome: T) -> None:
+        """Record the outcome of a ticket's request.
 
         Args:
             text: The ticket.
@@ -188,17 +189,17 @@
             entry.outcome = outcome
 
     def void_unused(self) -> int:
-        """Make every unused ticket worthless, because this instance stops.
+        """Invalidate all unused tickets, because this instance is stopping.
 
         Returns:
-            How many there were.
+            Number of tickets that were invalidated.
         """
         unused = [text for text, entry in self._entries.items() if entry.state is State.UNUSED]
         for text in unused:
             del self._entries[text]
         return len(unused)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         while self._expiries and self._expiries[0][0] <= now:
             _, text = heapq.heappop(self._expiries)
             entry = self._entries.get(text)
--- a/src/lineworks/decisions/workspaces.py
+++ b/src/lineworks/decisions/workspaces.py
@@ -1,8 +1,8 @@
-"""Whose request it is: workspaces, and the API keys that stand for them.
+"""Workspaces, and the API keys that identify them.
 
-A workspace is one of the operators' customers. Its keys are kept as digests with a secret of the
-process, so that looking one up takes the same time however much of it is right, and no crash
-message or memory dump of the table shows a key.
+A workspace is a customer of the operators. Its keys are stored as digests, keyed with a secret of
+the process. So the time of a lookup does not depend on how much of a key is right, and no key
+appears in a crash message or memory dump of the table.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quota:
-    """What a workspace may send through all instances together."""
+    """The requests that a workspace may send through all instances together."""
 
     rate: float
-    """Requests a second."""
+    """Requests per second."""
 
     burst: float
-    """Requests besides, at once."""
+    """Requests that may be sent at once, in addition to the rate."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,20 +35,20 @@
     """A customer of the operators."""
 
     name: str
-    """Unique name, which targets are told."""
+    """Unique name, which is sent to targets."""
 
     priority: int | None = None
-    """Rank of its requests, 0 the most urgent; None where that of their routes holds."""
+    """Priority of its requests, 0 being the most urgent; None to use that of the routes."""
 
     quota: Quota | None = None
-    """Its limit; None for no limit."""
+    """Request limit; None for no limit."""
 
     homes: frozenset[str] = frozenset()
-    """Home regions: the only ones in which its requests are served; empty for any."""
+    """Home regions: the only ones in which its requests are served; empty for any region."""
 
 
 class Workspaces:
-    """The workspaces of one configuration."""
+    """The workspaces of one configuration, indexed by key."""
 
     def __init__(self, listed: Iterable[tuple[Workspace, Iterable[str]]] = ()) -> None:
         """Index the workspaces by their keys.
@@ -65,8 +65,8 @@
                 self._by_digest[self._digest(key.encode())] = workspace
 
     @property
-    def is_used(self) -> bool:
-        """Whether requests need a key at all."""
+    def requires_keys(self) -> bool:
+        """Whether requests need a key: True if any workspace is configured."""
         return bool(self._by_name)
 
     @property
@@ -76,17 +76,17 @@
 
     @property
     def key_counts(self) -> Mapping[str, int]:
-        """Number of keys of each workspace that has any."""
+        """Number of keys by workspace name, for workspaces that have any."""
         return collections.Counter(one.name for one in self._by_digest.values())
 
     def find(self, key: bytes) -> Workspace | None:
-        """Find whose key it is.
+        """Find the workspace that a key belongs to.
 
         Args:
-            key: The key that a request carries.
+            key: The key in a request.
 
         Returns:
-            Its workspace; None for an unknown key.
+            The workspace; None if the key is unknown.
         """
         return self._by_digest.get(self._digest(key))
 
--- a/src/lineworks/forwarding/extra_keeper.py
+++ b/src/lineworks/forwarding/extra_keeper.py
@@ -174,7 +174,7 @@
         self, asked_at: float, listeners: Sequence[Callable[[], None]], services: Sequence[str]
     ) -> None:
         for service in services:
-            self._extra.accept(service, asked_at + extra_attempts.GRANT_SECONDS)
+            self._extra.accept_grant(service, asked_at + extra_attempts.GRANT_TTL_SECONDS)
         for listener in listeners:
             listener()
 
@@ -220,7 +220,7 @@
             self._reply(request)
 
     def _grant(self, request: _Request, now: float) -> None:
-        kept = extra_attempts.KEPT_FROM_HEDGES
+        kept = extra_attempts.RESERVED_FOR_RETRIES
         request.retries = self._grant_each(request, request.retries, now, 0.0)
         request.hedges = self._grant_each(request, request.hedges, now, kept)
 
@@ -245,10 +245,10 @@
         """Collect the credit of the hall's instances, the own one at once."""
         self.counts["collections"] += 1
         self._pulled_at = now
-        self._extra.take_in(self._extra.hand_over(now), now, now)
+        self._extra.deposit(self._extra.withdraw_earned(now), now, now)
         if not self._is_shared:
             return
-        oldest = now - extra_attempts.POOL_SECONDS
+        oldest = now - extra_attempts.POOL_TTL_SECONDS
         self._pulls = {number: at for number, at in self._pulls.items() if at > oldest}
         number = next(self._numbers)
         self._pulls[number] = now
@@ -259,14 +259,14 @@
             self._reactor.callLater(PULL_WAIT, self._on_pull_over, number)
 
     def _on_pull(self, link: Any, frame: node_frames.CreditPull) -> None:
-        amount = self._extra.hand_over(self._reactor.seconds())
+        amount = self._extra.withdraw_earned(self._reactor.seconds())
         link.send(node_frames.CreditShare(frame.number, amount))
 
     def _on_share(self, link: Any, frame: node_frames.CreditShare) -> None:
         asked_at = self._pulls.get(frame.number)
         if asked_at is None:
             return
-        self._extra.take_in(frame.amount, asked_at, self._reactor.seconds())
+        self._extra.deposit(frame.amount, asked_at, self._reactor.seconds())
         if frame.number == max(self._pulls):
             self._settle(link.hello.name)
 
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -51,7 +51,7 @@
         self,
         shared: tools.Tools,
         log: request_log.RequestLog,
-        revocation: access.Revocation,
+        revocation: access.RevocationPolicy,
     ) -> None:
         """Start without a configuration; every request is refused as not run.
 
@@ -105,7 +105,7 @@
             table: The configuration.
         """
         self._table = table
-        self._shared.line.is_fair = table.workspaces.is_used
+        self._shared.line.is_fair = table.workspaces.requires_keys
         self._turns.forget_absent(table.routes)
 
     def go_on(self) -> None:
@@ -164,7 +164,7 @@
             self._answer_at_once(request, answer, _plain(404, verdict.Reason.NO_SERVICE))
             return None
         key = headers.read_key(request.header(headers.CALLER))
-        knowledge = access.Knowledge(self.view_age(), self.is_outdated())
+        knowledge = access.ConfigurationFreshness(self.view_age(), self.is_outdated())
         found = access.judge(table, route, key, knowledge, self._revocation)
         if found.refusal is not None:
             if found.refusal.reason is verdict.Reason.KEY_UNSURE:
@@ -220,14 +220,14 @@
         request: server_connection.Request,
         answer: Callable[[server_connection.Answer], None],
         table: routes.RouteTable,
-        accessed: access.Access,
+        accessed: access.AccessDecision,
         attempt: bytes,
     ) -> Callable[[], None] | None:
         route, workspace = accessed.route, accessed.workspace
         budget = headers.read_budget(request.header(headers.BUDGET))
         allowed = min(route.timeout, budget if budget is not None else route.timeout)
         deadline = deadlines.for_answer(request.arrived, allowed)
-        has_keys = table.workspaces.is_used
+        has_keys = table.workspaces.requires_keys
         content = _content(request, accessed, has_keys)
         finish = functools.partial(self._finish, request, answer, table, accessed, attempt, content)
         judgement = self._shared.suspects.judge(content)
@@ -370,7 +370,7 @@
         request: server_connection.Request,
         answer: Callable[[server_connection.Answer], None],
         table: routes.RouteTable,
-        accessed: access.Access,
+        accessed: access.AccessDecision,
         attempt: bytes,
         content: str,
         found: outcome.Outcome,
@@ -393,7 +393,7 @@
         work: _Work,
         request: server_connection.Request,
         attempt: bytes,
-        accessed: access.Access,
+        accessed: access.AccessDecision,
     ) -> None:
         self._under_way.discard(work)
         route, workspace = accessed.route, accessed.workspace
@@ -419,7 +419,9 @@
     return outcome.Outcome(server_connection.Answer(status), verdict.not_run(reason))
 
 
-def _content(request: server_connection.Request, accessed: access.Access, has_keys: bool) -> str:
+def _content(
+    request: server_connection.Request, accessed: access.AccessDecision, has_keys: bool
+) -> str:
     """Make the fingerprint of what a request asks.
 
     Where requests carry keys it goes by the workspace, so that it outlives a change of its keys.
@@ -437,7 +439,9 @@
     )
 
 
-def _head(request: server_connection.Request, accessed: access.Access, has_keys: bool) -> bytes:
+def _head(
+    request: server_connection.Request, accessed: access.AccessDecision, has_keys: bool
+) -> bytes:
     """Write the part of a request's head that all targets get.
 
     Where requests carry keys, none reaches a target, and whose request it is isn't for the caller
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -58,7 +58,7 @@
     flush: Any = None
     timeout: Any = None
     is_flushed: bool = False
-    claim: fair_shares.Claim | None = None
+    claim: fair_shares.WaitingRequest | None = None
     """Its place where room is shared between workspaces; None where everybody looks for itself."""
     leave_line: Callable[[], None] = lambda: None
     has_broken: bool = False
@@ -160,10 +160,10 @@
         else:
             self._close(key)
 
-    def _claim(self, query: node_frames.GatherQuery, now: float) -> fair_shares.Claim:
+    def _claim(self, query: node_frames.GatherQuery, now: float) -> fair_shares.WaitingRequest:
         """Tell what decides about a query's place among those that wait for room."""
         usual = max(map(self._book.service_time, query.services))
-        return fair_shares.Claim(
+        return fair_shares.WaitingRequest(
             query.workspace,
             query.priority,
             now,
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -318,7 +318,7 @@
         if path == quota_view.PATH:
             return quota_view.answer(self._quotas, self._settings.hall)
         if path == workspace_view.PATH:
-            known = access.Knowledge(self._directory.age, self._directory.is_outdated)
+            known = access.ConfigurationFreshness(self._directory.age, self._directory.is_outdated)
             regions = set(self._settings.regions.values())
             return workspace_view.answer(self._front.table, known, regions)
         kind = (b"Content-Type", b"text/plain; version=0.0.4")
@@ -326,7 +326,11 @@
 
     def _on_table(self, table: routes.RouteTable) -> None:
         before = self._front.table
-        if before is not None and before.workspaces.is_used and not table.workspaces.is_used:
+        if (
+            before is not None
+            and before.workspaces.requires_keys
+            and not table.workspaces.requires_keys
+        ):
             _log.warning("keys_no_longer_needed", version=table.version, before=before.version)
         self._front.set_table(table)
         self._quotas.set_workspaces(table.workspaces.all, table.version)
@@ -416,7 +420,7 @@
         self._store.era.learn(frame.store_era)
         self._directory.on_peer_version(link.hello.name, frame.config_version)
         now = self._reactor.seconds()
-        self._extra.instances.note_told(frame.instances, now)
+        self._extra.instances.note_reported(frame.instances, now)
         self._book.cold.note_count(self._extra.instances.value(now))
 
     @property
--- a/src/lineworks/forwarding/quota_holder.py
+++ b/src/lineworks/forwarding/quota_holder.py
@@ -90,7 +90,7 @@
     acted_at: float
     """When a front or another hall asked for tokens last, in seconds."""
 
-    rate: quota.AskRate = dataclasses.field(default_factory=quota.AskRate)
+    rate: quota.RequestRate = dataclasses.field(default_factory=quota.RequestRate)
     """How often fronts ask."""
 
     waiting: list[_Waiter] = dataclasses.field(default_factory=list)
@@ -156,7 +156,7 @@
         self._ranks = ranks
         self._bound = bound
         # Seconds for which nobody else of the hall must have acted.
-        self._alone_after = bound.window + quota.TRANSIT_SECONDS
+        self._alone_after = bound.window + quota.MAX_TRANSIT_SECONDS
         self._limits: dict[str, workspaces.Quota] = {}
         self._version = -1
         self._held: dict[str, _Held] = {}
@@ -305,8 +305,8 @@
                 del self._held[name]
             else:
                 held.bucket.set_share(self._ranks.share(name), now)
-                held.bucket.set_saving(self._ranks.acts_alone(name, self._alone_after), now)
-        oldest = now - quota.MOVE_SECONDS
+                held.bucket.set_is_only_life(self._ranks.acts_alone(name, self._alone_after), now)
+        oldest = now - quota.TRANSFER_TTL_SECONDS
         self._pulls = {number: pull for number, pull in self._pulls.items() if pull[1] > oldest}
 
     def _grant(self, reply: Callable[[Answer], None], now: float) -> None:
@@ -322,7 +322,7 @@
         if held.free_at > now + MOST_RETRY_AFTER:
             # Begin again with the next token, so that what callers are told stays spread.
             held.free_at = now + min(between, MOST_RETRY_AFTER)
-        reply(Answer(quota.Decision.OVER, held.free_at - now))
+        reply(Answer(quota.Decision.EXHAUSTED, held.free_at - now))
 
     def _pull_ahead(self, workspace: str, held: _Held, now: float) -> None:
         """Ask for tokens before they are needed."""
@@ -411,9 +411,9 @@
         held.acted_at = now
         _, halls = self._divide(workspace, self._limits[workspace])
         if hall not in halls:
-            return held.bucket.give_whole(now, amount)
+            return held.bucket.transfer_out_whole(now, amount)
         is_quiet = now - held.asked_at > QUIET_SECONDS
-        return held.bucket.give(now, amount, 1.0 if is_quiet else 0.5)
+        return held.bucket.transfer_out(now, amount, 1.0 if is_quiet else 0.5)
 
     def _on_share(self, link: Any, frame: node_frames.QuotaShare) -> None:
         """Take in tokens; those of an earlier pull count as well."""
@@ -422,7 +422,7 @@
         if held is None:
             return
         now = self._reactor.seconds()
-        held.bucket.add(frame.amount, asked_at, now)
+        held.bucket.transfer_in(frame.amount, asked_at, now)
         self._serve_waiting(held, now)
         if frame.number != held.pull or not held.owing:
             return
--- a/src/lineworks/forwarding/quota_keeper.py
+++ b/src/lineworks/forwarding/quota_keeper.py
@@ -25,7 +25,7 @@
     from lineworks.forwarding import gatherers, quota_ranks
     from lineworks.services import peer_links
 
-ASK_SECONDS = quota.GRANT_SECONDS
+ASK_SECONDS = quota.GRANT_TTL_SECONDS
 """Seconds that an answer of a holder is waited for; then the holder is passed over until it is
 heard of again. It may wait for other halls meanwhile (`quota_holder.PULL_WAIT`)."""
 
@@ -358,7 +358,7 @@
         self._grants[key] = (workspace, now)
         while self._grants:
             oldest = next(iter(self._grants))
-            if now - self._grants[oldest][1] <= quota.RETURN_SECONDS:
+            if now - self._grants[oldest][1] <= quota.RETURN_WINDOW_SECONDS:
                 break
             del self._grants[oldest]
 
--- a/src/lineworks/forwarding/quota_ranks.py
+++ b/src/lineworks/forwarding/quota_ranks.py
@@ -143,8 +143,8 @@
         now = self._reactor.seconds()
         known = self._known()
         others = known - {self._name}
-        hears_all = all(self._silence(name) <= quota.HEARD_SECONDS for name in others)
-        stood_still = now - self._noted_at > quota.HEARD_SECONDS
+        hears_all = all(self._silence(name) <= quota.LIVENESS_TIMEOUT_SECONDS for name in others)
+        stood_still = now - self._noted_at > quota.LIVENESS_TIMEOUT_SECONDS
         if not hears_all:
             self._settled_since = math.inf
         elif known != self._noted or stood_still or math.isinf(self._settled_since):
@@ -164,7 +164,7 @@
             none came or went.
         """
         now = self._reactor.seconds()
-        if self.is_leaving() or now - self._noted_at > quota.HEARD_SECONDS:
+        if self.is_leaving() or now - self._noted_at > quota.LIVENESS_TIMEOUT_SECONDS:
             return False
         return now - self._settled_since >= seconds and self.is_best(workspace)
 
@@ -185,14 +185,14 @@
         better = [name for name in ranked[:rank] if not self._peers.is_leaving(name)]
         silent = min((self._silence(name) for name in better), default=math.inf)
         linked = [name for name in known if name in self._links.up]
-        heard = 1 + sum(self._silence(name) <= quota.HEARD_SECONDS for name in linked)
+        heard = 1 + sum(self._silence(name) <= quota.LIVENESS_TIMEOUT_SECONDS for name in linked)
         return quota.earned_share(rank, silent, heard, len(known))
 
     def _first(self, workspace: str, hall: str = "") -> Sequence[str]:
         """Name those that may hold tokens, the best first; nobody while no instance is known."""
         if not self._members() and not self._links.up:
             return ()
-        return self.order(workspace, self._known(hall))[: quota.LIVES]
+        return self.order(workspace, self._known(hall))[: quota.MAX_LIVES]
 
     def _known(self, hall: str = "") -> set[str]:
         """Name the instances of a hall that are listed or linked.
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -105,7 +105,7 @@
         self._held: list[int] = []
         self._given_up: set[int] = set()
         usual = max(map(shared.book.service_time, route.shards), default=0.0)
-        self._claim = fair_shares.Claim(
+        self._claim = fair_shares.WaitingRequest(
             call.workspace,
             route.priority,
             arrived,
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -188,10 +188,10 @@
         if is_enough and now + book.least(state) > self._aim_at:
             shard.not_hedged = search_state.NotHedged.TOO_LATE
             return None
-        kept = extra_attempts.KEPT_FROM_HEDGES
+        kept = extra_attempts.RESERVED_FOR_RETRIES
         if not self._shared.may_spend(shard.service, now, kept, self._workspace):
             shard.not_hedged = search_state.NotHedged.NO_BUDGET
-            if self._shared.spent_far_more(shard.service, now, self._workspace):
+            if self._shared.is_overspending(shard.service, now, self._workspace):
                 return None
             if shard.asks < extra_keeper.MOST_ASKS or self._is_lacking:
                 self._lacking.append(shard.service)
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -74,7 +74,7 @@
         self._failures: list[str] = []
         self._failure: client_connection.Response | None = None
         self._target = ""
-        self._claim = fair_shares.Claim(
+        self._claim = fair_shares.WaitingRequest(
             call.workspace,
             route.priority,
             arrived,
--- a/src/lineworks/forwarding/tools.py
+++ b/src/lineworks/forwarding/tools.py
@@ -167,8 +167,8 @@
         Returns:
             Whether it may be sent.
         """
-        if self.spent_far_more(service, now, workspace):
-            kept += extra_attempts.KEPT_FROM_HEDGES
+        if self.is_overspending(service, now, workspace):
+            kept += extra_attempts.RESERVED_FOR_RETRIES
         if not self.extra.spend(service, now, kept):
             self.counters.budget_spent += 1
             return False
@@ -176,7 +176,7 @@
             self.line.shares.note_spent(workspace, service, now)
         return True
 
-    def spent_far_more(self, service: str, now: float, workspace: str) -> bool:
+    def is_overspending(self, service: str, now: float, workspace: str) -> bool:
         """Say whether a workspace leaves the last extra attempts at a service to others.
 
         Args:
@@ -188,7 +188,7 @@
             Whether room is shared between workspaces, and it spent far more than its part.
         """
         line = self.line
-        return line.is_fair and line.shares.spent_far_more(workspace, service, now)
+        return line.is_fair and line.shares.is_overspending(workspace, service, now)
 
     def ask_for_retry(self, service: str, workspace: str, on_reply: Callable[[], None]) -> None:
         """Ask the keeper for an extra attempt at a service, because none is left here.
@@ -201,7 +201,7 @@
             workspace: Workspace of the request; empty for none.
             on_reply: Called once, when the keeper has answered or doesn't.
         """
-        leaves_last = self.spent_far_more(service, self.reactor.seconds(), workspace)
+        leaves_last = self.is_overspending(service, self.reactor.seconds(), workspace)
         self.keeper.ask((service,), leaves_last, on_reply)
 
     def log_hedges(
--- a/src/lineworks/forwarding/waiting_line.py
+++ b/src/lineworks/forwarding/waiting_line.py
@@ -20,7 +20,7 @@
 class _Place:
     """One that waits."""
 
-    claim: fair_shares.Claim
+    claim: fair_shares.WaitingRequest
     """What decides about its place."""
 
     services: frozenset[str]
@@ -50,7 +50,7 @@
         self._timer: Any = None
         self.is_fair = False
         """Whether the configuration has workspaces, between which room is shared."""
-        self.shares = fair_shares.Shares()
+        self.shares = fair_shares.FairShares()
         """What each workspace asked, got and spent lately."""
 
     @property
@@ -76,7 +76,7 @@
         if self.is_fair:
             self.shares.note_refused(workspace, self._reactor.seconds())
 
-    def is_too_late(self, claim: fair_shares.Claim, now: float) -> bool:
+    def is_too_late(self, claim: fair_shares.WaitingRequest, now: float) -> bool:
         """Say whether waiting is of no use any more.
 
         Args:
@@ -86,9 +86,9 @@
         Returns:
             Whether there is an order, and the request can't be in time even if it is sent now.
         """
-        return self.is_fair and not claim.can_be_in_time(now)
+        return self.is_fair and not claim.can_finish_in_time(now)
 
-    def is_behind(self, claim: fair_shares.Claim, services: Collection[str]) -> bool:
+    def is_behind(self, claim: fair_shares.WaitingRequest, services: Collection[str]) -> bool:
         """Say whether a newcomer would pass one that goes before it.
 
         Args:
@@ -103,12 +103,12 @@
         now = self._reactor.seconds()
         return any(
             not place.services.isdisjoint(services)
-            and self.shares.goes_before(place.claim, claim, now)
+            and self.shares.precedes(place.claim, claim, now)
             for place in self._places
         )
 
     def wait(
-        self, claim: fair_shares.Claim, services: Collection[str], look: Callable[[], None]
+        self, claim: fair_shares.WaitingRequest, services: Collection[str], look: Callable[[], None]
     ) -> Callable[[], None]:
         """Take a place until the next look.
 
@@ -141,7 +141,7 @@
             Seconds, spread so that those refused together don't come back together; None where
             there is no order, and what is usual holds.
         """
-        return fair_shares.spread_pause(pause, self._draw()) if self.is_fair else None
+        return fair_shares.jitter_pause(pause, self._draw()) if self.is_fair else None
 
     def _look(self) -> None:
         """Let all that wait look for room, in the order of fair shares."""
--- a/src/lineworks/forwarding/workspace_view.py
+++ b/src/lineworks/forwarding/workspace_view.py
@@ -20,7 +20,9 @@
 
 
 def answer(
-    table: routes.RouteTable | None, knowledge: access.Knowledge, regions: Collection[str]
+    table: routes.RouteTable | None,
+    knowledge: access.ConfigurationFreshness,
+    regions: Collection[str],
 ) -> server_connection.Answer:
     """Answer an operator.
 
--- a/src/lineworks/models/caller_http.py
+++ b/src/lineworks/models/caller_http.py
@@ -42,7 +42,7 @@
     validation_alias=pydantic.AliasChoices(WORKSPACE_FIELD, OLD_WORKSPACE_FIELD),
 )
 _DeadlineMs = pydantic.Field(
-    default=DEFAULT_DEADLINE_MS, ge=1, le=int(deadlines.MAX_DEADLINE * 1000)
+    default=DEFAULT_DEADLINE_MS, ge=1, le=int(deadlines.MAX_TIMEOUT_SECONDS * 1000)
 )
 
 
--- a/src/lineworks/models/node_settings.py
+++ b/src/lineworks/models/node_settings.py
@@ -67,7 +67,7 @@
     quota_bound: quota.QuotaBound = quota.QuotaBound()
     """What all instances together may let through beyond a workspace's quota."""
 
-    revocation: access.Revocation = access.Revocation()
+    revocation: access.RevocationPolicy = access.RevocationPolicy()
     """What holds for keys that were taken away while the instance heard nothing."""
 
     gather_rate: float = 0.0
--- a/src/lineworks/platform/settings.py
+++ b/src/lineworks/platform/settings.py
@@ -138,9 +138,9 @@
     )
 
 
-def _revocation(bounds: _fields.Fields) -> access.Revocation:
-    usual = access.Revocation()
-    return access.Revocation(
+def _revocation(bounds: _fields.Fields) -> access.RevocationPolicy:
+    usual = access.RevocationPolicy()
+    return access.RevocationPolicy(
         bounds.flag("StrictRevoke", usual.is_strict),
         bounds.number("RevokeMs", usual.seconds * 1000) / 1000,
     )
--- a/src/lineworks/services/caller_api.py
+++ b/src/lineworks/services/caller_api.py
@@ -173,7 +173,7 @@
 
     async def _tickets(self, request: Any) -> caller_http.Reply:
         body: caller_http.TicketsBody = self._parse(request, caller_http.TicketsBody)
-        return caller_http.Reply(200, {"tickets": self._runner.mint(body)})
+        return caller_http.Reply(200, {"tickets": self._runner.issue(body)})
 
     def _readyz(self, request: Any) -> bytes:
         request.setResponseCode(200 if self._life.is_ready else 503)
--- a/src/lineworks/services/claim_writer.py
+++ b/src/lineworks/services/claim_writer.py
@@ -119,7 +119,7 @@
         return bool(self._reactor.seconds() < self._settled_at)
 
     def _enqueue(self, wanted: _Wanted) -> None:
-        bucket = claims.bucket_of(wanted.claim.key)
+        bucket = claims.bucket_key(wanted.claim.key)
         self._waiting.setdefault(bucket, []).append(wanted)
         if bucket not in self._writing:
             self._writing.add(bucket)
@@ -175,7 +175,7 @@
             except platform_client.PlatformUnsureError as error:
                 # The next read of the bucket settles whether the claims were written.
                 reason = str(error)
-            except claims.FullBucketError as error:
+            except claims.BucketFullError as error:
                 self._refuse(group, verdict.Reason.OVERLOADED, str(error))
                 return
             await task.sleep(self._reactor, pause * (0.5 + self._rng.random()))
@@ -192,7 +192,7 @@
         if not group:
             return True
         merged = claims.merge(value.data, [w.claim for w in group], self._wall_clock())
-        held = claims.parse_bucket(value.data)
+        held = claims.decode_bucket(value.data)
         is_written = all(
             claim.key in held and held[claim.key].nonce == claim.nonce for claim in merged.won
         )
--- a/src/lineworks/services/runs.py
+++ b/src/lineworks/services/runs.py
@@ -56,7 +56,7 @@
         self._links = links
         self._keeper = keeper
         self._writer = writer
-        self._book: tickets.TicketBook[caller_http.Reply] = tickets.TicketBook(
+        self._book: tickets.TicketRegistry[caller_http.Reply] = tickets.TicketRegistry(
             name, incarnation, rng
         )
         self._waiting: dict[str, list[defer.Deferred[caller_http.Reply]]] = {}
@@ -88,7 +88,7 @@
         """
         return self._book.void_unused()
 
-    def mint(self, body: caller_http.TicketsBody) -> list[str]:
+    def issue(self, body: caller_http.TicketsBody) -> list[str]:
         """Issue tickets.
 
         Args:
@@ -99,7 +99,7 @@
         """
         now = self._reactor.seconds()
         lifetime = body.lifetime_ms / 1000
-        return [str(self._book.mint(now, lifetime)) for _ in range(body.count)]
+        return [str(self._book.issue(now, lifetime)) for _ in range(body.count)]
 
     async def run(
         self,
@@ -169,13 +169,13 @@
         step = self._book.redeem(text, body.fingerprint(), self._reactor.seconds())
         if isinstance(step, verdict.Verdict):
             return caller_http.verdict_reply(step)
-        if isinstance(step, tickets.Known):
+        if isinstance(step, tickets.Replay):
             return step.outcome
         if isinstance(step, tickets.Wait):
             return await self._wait_for(text, deadline)
         once = body.model_copy(update={"unrepeatable": True})
         reply = await self._run_once(once, deadline)
-        self._book.settle(text, reply)
+        self._book.record_outcome(text, reply)
         self._tell_waiting(text, reply)
         return reply
 
@@ -189,7 +189,7 @@
             secrets.token_hex(8),
             self._name,
             body.fingerprint(),
-            wall_now + claims.KEPT_SECONDS,
+            wall_now + claims.CLAIM_TTL_SECONDS,
         )
         found = await self._writer.claim(claim, deadline)
         if isinstance(found, verdict.Verdict):
@@ -201,7 +201,7 @@
         once = body.model_copy(update={"unrepeatable": True})
         reply = await self._run_once(once, deadline)
         self._outcomes[label] = reply
-        self._reactor.callLater(tickets.LINGER, self._outcomes.pop, label, None)
+        self._reactor.callLater(tickets.OUTCOME_RETENTION_SECONDS, self._outcomes.pop, label, None)
         self._tell_waiting(label, reply)
         return reply
 
--- a/src/lineworks/standins/deployment.py
+++ b/src/lineworks/standins/deployment.py
@@ -107,7 +107,7 @@
         them; none where no request needs a key."""
         self.quota_bound = quota.QuotaBound(5.0, 0.1, 20.0)
         """What instances that start from now on may let through beyond quotas."""
-        self.revocation = access.Revocation()
+        self.revocation = access.RevocationPolicy()
         """What holds at them for keys that were taken away while they heard nothing."""
         self.cold_bound = cold_targets.ColdBound(1.5, 5.0)
         """What cold targets may get from all instances together."""
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -295,10 +295,10 @@
         worst = -math.inf
         for name, times in self.admitted.items():
             times = sorted(times)
-            most = BOUND.most(self.workspaces[name].quota)
+            limit = BOUND.max_requests(self.workspaces[name].quota)
             for first, begin in enumerate(times):
                 last = bisect.bisect_left(times, begin + BOUND.window)
-                worst = max(worst, last - first - most)
+                worst = max(worst, last - first - limit)
         return worst
 
 
@@ -317,7 +317,7 @@
     return {name: (max(1.0, 1.6 * rate),) * 2 for name, rate in rates.items()}
 
 
-def whole(seed=1):
+def zipf_fleet(seed=1):
     """Make a fleet of 91 in six halls."""
     rates = zipf()
     return Fleet(SIZES, usual_limits(rates), seed), rates
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -8,11 +8,11 @@
 
 from lineworks.decisions import access, routes, verdict, workspaces
 
-FRESH = access.Knowledge(0.5)
-OLD = access.Knowledge(60.0)
-OUTDATED = access.Knowledge(0.5, is_outdated=True)
-LENIENT = access.Revocation()
-STRICT = access.Revocation(is_strict=True, seconds=5.0)
+FRESH = access.ConfigurationFreshness(0.5)
+OLD = access.ConfigurationFreshness(60.0)
+OUTDATED = access.ConfigurationFreshness(0.5, is_outdated=True)
+LENIENT = access.RevocationPolicy()
+STRICT = access.RevocationPolicy(is_strict=True, seconds=5.0)
 KNOWN = b"key-of-north"
 UNKNOWN = b"key-of-nobody"
 
@@ -51,7 +51,7 @@
     asked = route()
     found = routes.RouteTable(1, [asked], [], routes.CallerLimits())
     served = access.judge(found, asked, key, knowledge, revocation)
-    assert served == access.Access(asked)
+    assert served == access.AccessDecision(asked)
     assert served.route is asked
 
 
@@ -62,8 +62,15 @@
         (KNOWN, False, OLD, LENIENT, "north", None),
         (KNOWN, False, OUTDATED, LENIENT, "north", None),
         (KNOWN, False, FRESH, STRICT, "north", None),
-        (KNOWN, False, access.Knowledge(5.0), STRICT, "north", None),
-        (KNOWN, False, access.Knowledge(5.01), STRICT, "north", verdict.Reason.KEY_UNSURE),
+        (KNOWN, False, access.ConfigurationFreshness(5.0), STRICT, "north", None),
+        (
+            KNOWN,
+            False,
+            access.ConfigurationFreshness(5.01),
+            STRICT,
+            "north",
+            verdict.Reason.KEY_UNSURE,
+        ),
         (KNOWN, True, FRESH, LENIENT, "north", None),
         (KNOWN, True, OLD, STRICT, "north", None),
         (None, True, OLD, STRICT, None, None),
@@ -86,9 +93,9 @@
 
 
 def test_a_refusal_is_certain_for_a_shorter_time_than_a_change_may_take():
-    certain = access.Knowledge(access.CERTAIN_SECONDS)
+    certain = access.ConfigurationFreshness(access.MAX_CONCLUSIVE_AGE_SECONDS)
     assert judge(UNKNOWN, knowledge=certain).refusal.reason is verdict.Reason.UNKNOWN_KEY
-    older = access.Knowledge(access.CERTAIN_SECONDS + 0.01)
+    older = access.ConfigurationFreshness(access.MAX_CONCLUSIVE_AGE_SECONDS + 0.01)
     assert judge(UNKNOWN, knowledge=older).refusal.reason is verdict.Reason.KEY_UNSURE
 
 
--- a/tests/test_acting_together.py
+++ b/tests/test_acting_together.py
@@ -106,7 +106,7 @@
 
 
 def test_a_fleet_that_is_too_generous_is_found(monkeypatch):
-    monkeypatch.setattr(extra_attempts, "SLACK_IN_USE", 4.0)
+    monkeypatch.setattr(extra_attempts, "USABLE_SLACK", 4.0)
     made = make_hungry()
     calm(made)
     assert made.worst_excess() > 0
@@ -126,7 +126,7 @@
     keeper = keeper_of(made, "akl")
     getattr(made.world.host_of(keeper), fault)()
     made.names.remove(keeper)
-    made.load(extra_keeper.ASK_SECONDS + extra_attempts.POOL_SECONDS)
+    made.load(extra_keeper.ASK_SECONDS + extra_attempts.POOL_TTL_SECONDS)
     others = [made.world.nodes[name] for name in made.names if name.startswith("akl")]
     before = granted(others)
     made.load(3.0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -69,7 +69,7 @@
     queue.finish(0.0, 1.0, 0.0)
     queue.offer("b", "c", 1.0, 0.0, 50.0)
     assert queue.offer("c", "c", 1.0, 0.0, 50.0) is None
-    refused = queue.offer("d", "c", 1.0, admission.STANDING + 1.0, 50.0)
+    refused = queue.offer("d", "c", 1.0, admission.STANDING_QUEUE_SECONDS + 1.0, 50.0)
     assert refused is not None
     assert refused.is_not_run
 
--- a/tests/test_api_keys.py
+++ b/tests/test_api_keys.py
@@ -279,7 +279,7 @@
 
 
 def test_with_strict_revocation_an_instance_that_is_cut_off_serves_no_key_for_long():
-    world = build(revocation=access.Revocation(is_strict=True, seconds=5.0))
+    world = build(revocation=access.RevocationPolicy(is_strict=True, seconds=5.0))
     cut_from_all(world, "akl-1")
     world.run(2.0)
     assert ask(world, "akl-1", key=NORTH).status == 200
@@ -297,7 +297,7 @@
 
 @pytest.mark.parametrize(("is_strict", "expected"), [(False, {200, 401}), (True, {503, 401})])
 def test_an_instance_that_stood_still_hears_soon_of_a_key_taken_away(is_strict, expected):
-    world = build(revocation=access.Revocation(is_strict=is_strict, seconds=5.0))
+    world = build(revocation=access.RevocationPolicy(is_strict=is_strict, seconds=5.0))
     host = world.host_of("akl-1")
     host.freeze()
     world.run(2.0)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -32,7 +32,7 @@
 
 def test_a_full_bucket_takes_no_more():
     many = [claim(key=f"{number:032d}") for number in range(20000)]
-    with pytest.raises(claims.FullBucketError):
+    with pytest.raises(claims.BucketFullError):
         claims.merge(None, many, 0.0)
 
 
@@ -175,7 +175,7 @@
     found = world.ask(0, claim(key=key, nonce="1"))
     world.clock.callLater(claim_writer.GROUP_SECONDS + 0.003, lose_since, world, copy)
     world.clock.run_until(9.0)
-    held = claims.parse_bucket(world.platform.values[claims.bucket_of(key)][0])
+    held = claims.decode_bucket(world.platform.values[claims.bucket_key(key)][0])
     assert found[0].is_not_run
     assert key not in held
 
--- a/tests/test_extra_attempts.py
+++ b/tests/test_extra_attempts.py
@@ -52,20 +52,20 @@
         """Let an instance collect from all that do not lose the message."""
         asked_at = self.now
         book = self.books[keeper]
-        book.take_in(book.hand_over(asked_at), asked_at, asked_at)
+        book.deposit(book.withdraw_earned(asked_at), asked_at, asked_at)
         for other in range(len(self.books)):
             if other != keeper and self.rng.random() >= self.lost:
                 self.later(self.delay(), self.on_pull, keeper, other, asked_at, book)
 
     def on_pull(self, keeper, other, asked_at, book):
-        amount = self.books[other].hand_over(self.now)
+        amount = self.books[other].withdraw_earned(self.now)
         if self.rng.random() >= self.lost:
             wait = max(self.delay(), self.held_until - self.now)
             self.later(wait, self.on_share, keeper, amount, asked_at, book)
 
     def on_share(self, keeper, amount, asked_at, book):
         if book is self.books[keeper]:
-            book.take_in(amount, asked_at, self.now)
+            book.deposit(amount, asked_at, self.now)
 
     def ask(self, one, keeper):
         self.later(self.delay(), self.on_ask, one, keeper, self.now, self.books[one])
@@ -77,7 +77,7 @@
 
     def on_grant(self, one, asked_at, book):
         if book is self.books[one]:
-            book.accept("s", asked_at + extra_attempts.GRANT_SECONDS)
+            book.accept_grant("s", asked_at + extra_attempts.GRANT_TTL_SECONDS)
 
     def restart(self, share):
         for one in range(len(self.books)):
@@ -202,36 +202,36 @@
 def keep_what_is_handed_over(monkeypatch, fleet):
     monkeypatch.setattr(
         extra_attempts.ExtraAttempts,
-        "hand_over",
-        lambda book, now: min(now - 0.0, extra_attempts.HOLD_SECONDS) * ALLOWED.rate / 7,
+        "withdraw_earned",
+        lambda book, now: min(now - 0.0, extra_attempts.EARNED_TTL_SECONDS) * ALLOWED.rate / 7,
     )
 
 
 def count_life_from_the_arrival(monkeypatch, fleet):
-    original = extra_attempts.ExtraAttempts.take_in
+    original = extra_attempts.ExtraAttempts.deposit
     monkeypatch.setattr(
         extra_attempts.ExtraAttempts,
-        "take_in",
+        "deposit",
         lambda book, amount, at, now: original(book, amount, now, now),
     )
 
 
 def begin_with_credit(monkeypatch, fleet):
     make = fleet.make
-    fleet.make = lambda now: make(now - extra_attempts.HOLD_SECONDS)
+    fleet.make = lambda now: make(now - extra_attempts.EARNED_TTL_SECONDS)
 
 
 def hoard_grants(monkeypatch, fleet):
-    original = extra_attempts.ExtraAttempts.accept
+    original = extra_attempts.ExtraAttempts.accept_grant
     monkeypatch.setattr(
         extra_attempts.ExtraAttempts,
-        "accept",
+        "accept_grant",
         lambda book, service, until: original(book, service, FOREVER),
     )
 
 
 def forget_who_is_out_of_sight(monkeypatch, fleet):
-    monkeypatch.setattr(instance_count, "COUNT_SECONDS", -1.0)
+    monkeypatch.setattr(instance_count, "RETENTION_SECONDS", -1.0)
 
 
 def hold_up(fleet):
@@ -290,7 +290,7 @@
 
 def test_nothing_but_the_share_is_spent_while_the_number_of_instances_is_unknown():
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
-    book.take_in(book.hand_over(20.0), 20.0, 20.0)
+    book.deposit(book.withdraw_earned(20.0), 20.0, 20.0)
     assert not book.spend("s", 20.0)
 
 
@@ -309,21 +309,21 @@
     for _ in range(4):
         book.note_request("s", 0.0)
     assert not book.spend("s", 1.0)
-    book.take_in(0.3, 1.0, 1.0)
+    book.deposit(0.3, 1.0, 1.0)
     assert book.spend("s", 1.0)
     assert not book.spend("s", 1.0)
 
 
 def keep(amount, now=1.0):
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
-    book.take_in(amount, now, now)
+    book.deposit(amount, now, now)
     return book
 
 
 def test_hedges_leave_a_part_to_retries():
     book = keep(8.0)
     hedges = 0
-    while book.spend("s", 1.0, extra_attempts.KEPT_FROM_HEDGES):
+    while book.spend("s", 1.0, extra_attempts.RESERVED_FOR_RETRIES):
         hedges += 1
     assert hedges == 6
     assert book.spend("s", 1.0)
@@ -340,27 +340,27 @@
 
 def test_credit_ends_where_it_is_kept_and_where_it_is_granted():
     book = keep(2.0)
-    assert book.left("s", 1.0 + extra_attempts.POOL_SECONDS - 0.01) == 2.0
-    assert book.left("s", 1.0 + extra_attempts.POOL_SECONDS) == 0.0
-    book.accept("s", 2.0)
+    assert book.left("s", 1.0 + extra_attempts.POOL_TTL_SECONDS - 0.01) == 2.0
+    assert book.left("s", 1.0 + extra_attempts.POOL_TTL_SECONDS) == 0.0
+    book.accept_grant("s", 2.0)
     assert not book.spend("s", 2.0)
-    book.accept("s", 2.1)
+    book.accept_grant("s", 2.1)
     assert book.spend("s", 2.0)
 
 
 def test_credit_that_was_asked_for_long_ago_is_over():
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
-    book.take_in(5.0, 1.0, 1.0 + extra_attempts.POOL_SECONDS)
-    assert not book.spend("s", 1.0 + extra_attempts.POOL_SECONDS)
+    book.deposit(5.0, 1.0, 1.0 + extra_attempts.POOL_TTL_SECONDS)
+    assert not book.spend("s", 1.0 + extra_attempts.POOL_TTL_SECONDS)
 
 
 def test_what_an_instance_earned_is_handed_over_once_and_not_saved_for_long():
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
     book.instances.note(2, 0.0)
-    most = extra_attempts.HOLD_SECONDS * ALLOWED.rate / 2
-    assert book.hand_over(100.0) == pytest.approx(most)
-    assert book.hand_over(100.0) == 0.0
-    assert book.hand_over(101.0) == pytest.approx(ALLOWED.rate / 2)
+    most = extra_attempts.EARNED_TTL_SECONDS * ALLOWED.rate / 2
+    assert book.withdraw_earned(100.0) == pytest.approx(most)
+    assert book.withdraw_earned(100.0) == 0.0
+    assert book.withdraw_earned(101.0) == pytest.approx(ALLOWED.rate / 2)
 
 
 def test_instances_out_of_sight_count_for_a_while():
@@ -370,7 +370,7 @@
     count.note(190, 50.0)
     count.note(80, 60.0)
     assert count.value(61.0) == 195
-    assert count.value(55.0 + instance_count.COUNT_SECONDS) == 190
-    assert count.value(61.0 + instance_count.COUNT_SECONDS) == 80
-    count.note_told(100, 500.0)
+    assert count.value(55.0 + instance_count.RETENTION_SECONDS) == 190
+    assert count.value(61.0 + instance_count.RETENTION_SECONDS) == 80
+    count.note_reported(100, 500.0)
     assert count.value(500.0) == 100
--- a/tests/test_extra_attempts_model.py
+++ b/tests/test_extra_attempts_model.py
@@ -51,12 +51,12 @@
         for book in self.books:
             pool = tuple((b.epoch, b.amount, b.spent.get("s", 0.0)) for b in book._pool._buckets)
             grants = tuple(book._grants.get("s", ()))
-            books.append((book._held_since, pool, grants))
+            books.append((book._earning_since, pool, grants))
         return tuple(books), self.now, self.under_way, self.restarts, self.spent
 
 
 def copied(book):
-    other = extra_attempts.ExtraAttempts(book._allowance, book._held_since)
+    other = extra_attempts.ExtraAttempts(book._allowance, book._earning_since)
     other.instances = book.instances
     other._pool._buckets = [
         credit._Bucket(one.epoch, one.amount, dict(one.spent)) for one in book._pool._buckets
@@ -67,12 +67,12 @@
 
 @pytest.fixture
 def allowed(monkeypatch):
-    monkeypatch.setattr(extra_attempts, "HOLD_SECONDS", HOLD)
-    monkeypatch.setattr(extra_attempts, "POOL_SECONDS", POOL)
-    monkeypatch.setattr(extra_attempts, "GRANT_SECONDS", GRANT)
+    monkeypatch.setattr(extra_attempts, "EARNED_TTL_SECONDS", HOLD)
+    monkeypatch.setattr(extra_attempts, "POOL_TTL_SECONDS", POOL)
+    monkeypatch.setattr(extra_attempts, "GRANT_TTL_SECONDS", GRANT)
     monkeypatch.setattr(credit, "BUCKET_SECONDS", 1)
     window = 2.0
-    slack = 2 * EACH_STEP * (window + HOLD + POOL + GRANT) / extra_attempts.SLACK_IN_USE
+    slack = 2 * EACH_STEP * (window + HOLD + POOL + GRANT) / extra_attempts.USABLE_SLACK
     allowance = extra_attempts.Allowance(0.0, slack, window)
     assert allowance.rate == pytest.approx(2 * EACH_STEP)
     return allowance
@@ -124,7 +124,7 @@
 
 def pull(world, keeper, bound):
     book = world.books[keeper]
-    book.take_in(book.hand_over(world.now), world.now, world.now)
+    book.deposit(book.withdraw_earned(world.now), world.now, world.now)
     return send(world, bound, ("pull", keeper, world.now))
 
 
@@ -146,16 +146,16 @@
     lose(world, place)
     other = 1 - asker
     if kind == "pull":
-        amount = world.books[other].hand_over(world.now)
+        amount = world.books[other].withdraw_earned(world.now)
         return send(world, bound, ("share", asker, asked_at, amount))
     if kind == "ask":
         if world.books[other].grant("s", world.now):
             return send(world, bound, ("grant", asker, asked_at))
         return False
     if kind == "share":
-        world.books[asker].take_in(more[0], asked_at, world.now)
+        world.books[asker].deposit(more[0], asked_at, world.now)
     else:
-        world.books[asker].accept("s", asked_at + extra_attempts.GRANT_SECONDS)
+        world.books[asker].accept_grant("s", asked_at + extra_attempts.GRANT_TTL_SECONDS)
     return True
 
 
@@ -197,7 +197,7 @@
 
 def test_the_model_finds_credit_that_is_copied(allowed, monkeypatch):
     monkeypatch.setattr(
-        extra_attempts.ExtraAttempts, "hand_over", lambda book, now: float(min(now, HOLD))
+        extra_attempts.ExtraAttempts, "withdraw_earned", lambda book, now: float(min(now, HOLD))
     )
     with pytest.raises(AssertionError):
         explore(allowed, Bound(2, 1, 0))
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -41,7 +41,7 @@
         self.served = collections.Counter()
         self._asked_by = collections.Counter()
         self._served_by = collections.Counter()
-        self._shares = fair_shares.Shares()
+        self._shares = fair_shares.FairShares()
         self._is_fair = is_fair
         self._waiting = []
         self._busy = []
@@ -56,7 +56,7 @@
     def _take(self, now, sender, slots):
         self.asked[sender.name] += 1
         self._asked_by[id(sender)] += 1
-        claim = fair_shares.Claim(
+        claim = fair_shares.WaitingRequest(
             sender.name,
             sender.priority,
             now,
@@ -164,12 +164,12 @@
 
 
 def test_a_long_request_that_has_waited_goes_before_urgent_ones_that_just_came():
-    shares = fair_shares.Shares()
-    long = fair_shares.Claim("w", 2, 0.0, 2.0)
-    urgent = [fair_shares.Claim("w", 0, now, now + 0.1) for now in (0.0, 0.1, 0.5)]
-    assert shares.goes_before(urgent[0], long, 0.0)
-    assert shares.goes_before(urgent[1], long, 0.1)
-    assert shares.goes_before(long, urgent[2], 0.5)
+    shares = fair_shares.FairShares()
+    long = fair_shares.WaitingRequest("w", 2, 0.0, 2.0)
+    urgent = [fair_shares.WaitingRequest("w", 0, now, now + 0.1) for now in (0.0, 0.1, 0.5)]
+    assert shares.precedes(urgent[0], long, 0.0)
+    assert shares.precedes(urgent[1], long, 0.1)
+    assert shares.precedes(long, urgent[2], 0.5)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -183,14 +183,14 @@
 
 
 def test_who_was_served_long_ago_is_treated_like_the_others():
-    shares = fair_shares.Shares()
+    shares = fair_shares.FairShares()
     for _ in range(100):
         shares.note_served("hot", 0.0)
     shares.note_served("calm", 0.0)
 
     def hot_goes_first(now):
-        hot = fair_shares.Claim("hot", 1, now - 0.02, 500.0)
-        return shares.goes_before(hot, fair_shares.Claim("calm", 1, now - 0.01, 500.0), now)
+        hot = fair_shares.WaitingRequest("hot", 1, now - 0.02, 500.0)
+        return shares.precedes(hot, fair_shares.WaitingRequest("calm", 1, now - 0.01, 500.0), now)
 
     assert not hot_goes_first(2.0)
     assert hot_goes_first(300.0)
@@ -200,12 +200,12 @@
     """Extra attempts at a service that are short."""
 
     def spent(self, *counts):
-        shares = fair_shares.Shares()
+        shares = fair_shares.FairShares()
         for number, count in enumerate(counts):
             shares.note_served(f"w{number}", 0.0)
             for _ in range(count):
                 shares.note_spent(f"w{number}", "s", 0.0)
-        return [shares.spent_far_more(f"w{number}", "s", 0.0) for number in range(len(counts))]
+        return [shares.is_overspending(f"w{number}", "s", 0.0) for number in range(len(counts))]
 
     def test_one_that_spends_most_leaves_the_last_to_others(self):
         assert self.spent(20, 2, 2, 0) == [True, False, False, False]
@@ -219,12 +219,12 @@
         assert self.spent(3, 0, 0) == [False] * 3
 
     def test_each_service_counts_for_itself(self):
-        shares = fair_shares.Shares()
+        shares = fair_shares.FairShares()
         shares.note_served("calm", 0.0)
         shares.note_served("hot", 0.0)
         for _ in range(20):
             shares.note_spent("hot", "s", 0.0)
-        assert not shares.spent_far_more("hot", "t", 0.0)
+        assert not shares.is_overspending("hot", "t", 0.0)
 
 
 def _spend_all(is_fair):
@@ -234,7 +234,7 @@
     extra = extra_attempts.ExtraAttempts(extra_attempts.Allowance(), 0.0)
     shared = mock.create_autospec(tools.Tools, instance=True)
     shared.line, shared.extra, shared.counters = line, extra, tools.Counters()
-    shared.spent_far_more = functools.partial(tools.Tools.spent_far_more, shared)
+    shared.is_overspending = functools.partial(tools.Tools.is_overspending, shared)
     for name in ("hot", "calm"):
         line.note_served(name)
     for _ in range(200):
@@ -260,7 +260,7 @@
         tried = []
 
         def claim(name, priority=1):
-            return fair_shares.Claim(name, priority, clock.seconds(), 100.0)
+            return fair_shares.WaitingRequest(name, priority, clock.seconds(), 100.0)
 
         def wait(name, priority=1, service="s"):
             def look():
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -82,11 +82,11 @@
 def test_bounds_of_quotas_and_revocation_may_be_told_or_left_out():
     found = settings.parse(SETTINGS)
     assert found.quota_bound == quota.QuotaBound()
-    assert found.revocation == access.Revocation()
+    assert found.revocation == access.RevocationPolicy()
     told = "QuotaWindowS: 4, QuotaExcess: 0.1, QuotaSlack: 20, StrictRevoke: true, RevokeMs: 2500"
     found = settings.parse(SETTINGS.replace("GraceS: 6", told))
     assert found.quota_bound == quota.QuotaBound(4.0, 0.1, 20.0)
-    assert found.revocation == access.Revocation(is_strict=True, seconds=2.5)
+    assert found.revocation == access.RevocationPolicy(is_strict=True, seconds=2.5)
 
 
 def test_missing_settings_are_told():
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -22,7 +22,7 @@
 def test_a_small_limit_leaves_each_hall_more_than_a_token():
     found = part(1.0, 1.0)
     assert found.rate == pytest.approx(1 / 6)
-    assert found.depth == pytest.approx((26.6 - 5 - quota.TRANSIT_SECONDS) / 3 / 6)
+    assert found.depth == pytest.approx((26.6 - 5 - quota.MAX_TRANSIT_SECONDS) / 3 / 6)
     assert found.depth > 1.1
 
 
@@ -31,26 +31,26 @@
 @pytest.mark.parametrize("burst", [0.0, 1.0, 50.0])
 def test_all_lives_together_stay_within_the_bound(rate, burst, bound):
     found = part(rate, burst, bound)
-    lives = found.depth + (quota.LIVES - 1) * found.later
-    spent = lives + found.rate * (bound.window + quota.TRANSIT_SECONDS)
+    lives = found.depth + (quota.MAX_LIVES - 1) * found.restart_depth
+    spent = lives + found.rate * (bound.window + quota.MAX_TRANSIT_SECONDS)
     spent *= found.holders
-    assert spent <= bound.most(workspaces.Quota(rate, burst)) + 1e-9
-    assert 0 <= found.later <= found.depth
+    assert spent <= bound.max_requests(workspaces.Quota(rate, burst)) + 1e-9
+    assert 0 <= found.restart_depth <= found.depth
     assert 0 <= found.rate <= rate
 
 
 def test_a_burst_is_saved_for_beside_later_lives():
     found = part(2.0, 20.0)
     assert found.depth * found.holders >= 20.0
-    assert found.later * found.holders >= quota.LEAST_DEPTH
-    later = quota.Bucket(found, 0.0, is_first=False)
-    assert later.tokens(0.0) == pytest.approx(found.later)
-    assert later.tokens(1000.0) == pytest.approx(found.later)
-    later.set_saving(True, 1000.0)
-    assert later.tokens(1000.0) == pytest.approx(found.later)
+    assert found.restart_depth * found.holders >= quota.MIN_TOTAL_DEPTH
+    later = quota.Bucket(found, 0.0, is_only_life=False)
+    assert later.tokens(0.0) == pytest.approx(found.restart_depth)
+    assert later.tokens(1000.0) == pytest.approx(found.restart_depth)
+    later.set_is_only_life(True, 1000.0)
+    assert later.tokens(1000.0) == pytest.approx(found.restart_depth)
     assert later.tokens(2000.0) == pytest.approx(found.depth)
-    later.set_saving(False, 2000.0)
-    assert later.tokens(2000.0) == pytest.approx(found.later)
+    later.set_is_only_life(False, 2000.0)
+    assert later.tokens(2000.0) == pytest.approx(found.restart_depth)
 
 
 def test_without_any_excess_most_of_the_rate_is_left():
@@ -63,7 +63,7 @@
     assert part(1.0, 1.0).holders == 6
     assert part(1.0, 1.0, TIGHT).holders == 1
     assert part(5.0, 5.0, TIGHT).holders == 2
-    assert part(5.0, 5.0, TIGHT).depth >= quota.LEAST_PART
+    assert part(5.0, 5.0, TIGHT).depth >= quota.MIN_PART_DEPTH
 
 
 def test_a_bucket_starts_full_and_earns():
@@ -80,36 +80,36 @@
     assert math.isinf(bucket.seconds_until_next(0.0))
     assert not bucket.take(0.0)
     for _ in range(4):
-        bucket.add(0.2, 0.0, 0.0)
+        bucket.transfer_in(0.2, 0.0, 0.0)
     assert bucket.take(0.0)
     assert bucket.tokens(0.0) == pytest.approx(0.0)
 
 
 def test_moved_tokens_end_where_they_have_no_room():
     bucket = quota.Bucket(quota.Part(0.0, 1.0), 0.0)
-    bucket.add(2.0, 0.0, 0.1)
+    bucket.transfer_in(2.0, 0.0, 0.1)
     assert bucket.tokens(0.1) == 3.0
-    assert bucket.tokens(quota.MOVE_SECONDS) == 1.0
+    assert bucket.tokens(quota.TRANSFER_TTL_SECONDS) == 1.0
     bucket.take(1.0)
-    bucket.add(1.0, 1.0, 1.0 + quota.MOVE_SECONDS)
-    assert bucket.tokens(1.0 + quota.MOVE_SECONDS) == 0.0
+    bucket.transfer_in(1.0, 1.0, 1.0 + quota.TRANSFER_TTL_SECONDS)
+    assert bucket.tokens(1.0 + quota.TRANSFER_TTL_SECONDS) == 0.0
 
 
 def test_what_is_given_is_gone_here():
     bucket = quota.Bucket(quota.Part(0.0, 4.0), 0.0)
-    assert bucket.give(0.0, 10.0) == 2.0
-    assert bucket.give(0.0, 0.5) == 0.5
+    assert bucket.transfer_out(0.0, 10.0) == 2.0
+    assert bucket.transfer_out(0.0, 0.5) == 0.5
     assert bucket.tokens(0.0) == 1.5
-    assert bucket.give(0.0, 10.0, 1.0) == 1.5
-    assert bucket.give(0.0, 1.0, 1.0) == 0.0
+    assert bucket.transfer_out(0.0, 10.0, 1.0) == 1.5
+    assert bucket.transfer_out(0.0, 1.0, 1.0) == 0.0
 
 
 def test_a_hall_without_a_part_is_given_whole_tokens_only():
     bucket = quota.Bucket(quota.Part(0.0, 1.5), 0.0)
-    bucket.add(0.8, 0.0, 0.0)
+    bucket.transfer_in(0.8, 0.0, 0.0)
     assert bucket.tokens(0.0) == pytest.approx(2.3)
-    assert bucket.give_whole(0.0, 2.3) == 1.0
-    assert bucket.give_whole(0.0, 2.3) == 0.0
+    assert bucket.transfer_out_whole(0.0, 2.3) == 1.0
+    assert bucket.transfer_out_whole(0.0, 2.3) == 0.0
     assert bucket.tokens(0.0) == pytest.approx(1.3)
 
 
@@ -143,7 +143,7 @@
     assert bucket.put_back(0.0, 0.1)
     assert not bucket.put_back(0.0, 0.1)
     bucket.take(1.0)
-    assert not bucket.put_back(1.0, 1.1 + quota.RETURN_SECONDS)
+    assert not bucket.put_back(1.0, 1.1 + quota.RETURN_WINDOW_SECONDS)
     assert bucket.tokens(2.0) == 1.0
 
 
@@ -197,8 +197,8 @@
         self.spent = []
         self.late = []
 
-    def make(self, limit, is_first=True):
-        return quota.Bucket(quota.part_of(limit, self.bound, HALLS), self.now, is_first)
+    def make(self, limit, is_only_life=True):
+        return quota.Bucket(quota.part_of(limit, self.bound, HALLS), self.now, is_only_life)
 
     def play(self, events):
         for kind, *values in events:
@@ -215,8 +215,8 @@
         """Move tokens; a message may come late, and to a holder that is gone by then."""
         if place != other:
             asker, asked_at = self.buckets[place], self.now
-            given = self.buckets[other].give(self.now, amount, 1.0)
-            self.later(delay, lambda: asker.add(given, asked_at, self.now))
+            given = self.buckets[other].transfer_out(self.now, amount, 1.0)
+            self.later(delay, lambda: asker.transfer_in(given, asked_at, self.now))
 
     def put_back(self, place, delay):
         """Give the latest token back that was spent at a hall, perhaps too late."""
@@ -229,9 +229,9 @@
     def restart(self, place):
         """Begin a new life, where the window has not seen too many."""
         lately = [at for at in self.births[place] if at > self.now - self.bound.window]
-        if len(lately) < quota.LIVES - 1:
+        if len(lately) < quota.MAX_LIVES - 1:
             self.births[place].append(self.now)
-            self.buckets[place] = self.make(LIMIT, is_first=False)
+            self.buckets[place] = self.make(LIMIT, is_only_life=False)
 
     def set_rate(self, rate):
         found = quota.part_of(workspaces.Quota(rate, rate), self.bound, HALLS)
@@ -254,7 +254,7 @@
         times = sorted(at for at, _ in self.spent)
         ends = [bisect.bisect_left(times, at + self.bound.window) for at in times]
         fullest = max((end - first for first, end in enumerate(ends)), default=0)
-        return fullest - self.bound.most(LIMIT)
+        return fullest - self.bound.max_requests(LIMIT)
 
 
 @hypothesis.given(st.lists(_event, max_size=60), st.sampled_from((BOUND, TIGHT)))
@@ -275,16 +275,18 @@
 
 
 def copy_what_is_given(monkeypatch):
-    monkeypatch.setattr(quota.Bucket, "give", lambda bucket, now, wanted, most=0.5: wanted)
+    monkeypatch.setattr(
+        quota.Bucket, "transfer_out", lambda bucket, now, wanted, max_fraction=0.5: wanted
+    )
 
 
 def keep_what_was_moved(monkeypatch):
-    monkeypatch.setattr(quota, "MOVE_SECONDS", 1e9)
+    monkeypatch.setattr(quota, "TRANSFER_TTL_SECONDS", 1e9)
 
 
 def fill_for_one_life(monkeypatch):
     whole = quota.part_of(LIMIT, BOUND, HALLS)
-    deep = quota.Part(whole.rate, whole.depth * quota.LIVES)
+    deep = quota.Part(whole.rate, whole.depth * quota.MAX_LIVES)
     monkeypatch.setattr(quota, "part_of", lambda limit, bound, halls: deep)
 
 
--- a/tests/test_quota_deployment.py
+++ b/tests/test_quota_deployment.py
@@ -16,7 +16,9 @@
 
 @pytest.fixture
 def world(monkeypatch):
-    monkeypatch.setattr(access, "judge", lambda known, route, *more: access.Access(route, LIMITED))
+    monkeypatch.setattr(
+        access, "judge", lambda known, route, *more: access.AccessDecision(route, LIMITED)
+    )
     made = test_home_regions.build(routes=[test_forwarding.READ])
     for node in made.nodes.values():
         node._quotas.set_workspaces([LIMITED])
@@ -44,7 +46,7 @@
     refused = [reply for reply in replies if reply.status == 429]
     assert len(served) + len(refused) == len(replies)
     assert len(world.runs) == len(served)
-    assert worst_window(world) <= world.quota_bound.most(LIMITED.quota)
+    assert worst_window(world) <= world.quota_bound.max_requests(LIMITED.quota)
     assert len(served) >= 0.95 * 2.0 * 15.0
     assert all(float(reply.headers["retry-after"]) > 0 for reply in refused)
     assert max(reply.seconds for reply in refused) < 0.1
@@ -64,7 +66,7 @@
         world.nodes[name]._quotas.set_workspaces([LIMITED])
         world.nodes[name]._quotas.set_workspaces = lambda *told: None
     assert 200 in {reply.status for reply in ask_often(world, 6.0)}
-    assert worst_window(world) <= world.quota_bound.most(LIMITED.quota)
+    assert worst_window(world) <= world.quota_bound.max_requests(LIMITED.quota)
 
 
 def test_requests_without_a_quota_cause_no_message(monkeypatch):
--- a/tests/test_quota_keeper.py
+++ b/tests/test_quota_keeper.py
@@ -40,7 +40,7 @@
 
 
 def test_ten_thousand_calm_requests_are_admitted():
-    fleet, rates = quota_fleet.whole()
+    fleet, rates = quota_fleet.zipf_fleet()
     fleet.load(rates, 10_000 / quota_fleet.REQUESTS_A_SECOND)
     refused = sum(map(len, fleet.refused.values()))
     admitted = sum(map(len, fleet.admitted.values()))
@@ -52,9 +52,9 @@
 
 
 def test_a_hot_workspace_gets_its_limit_and_the_others_notice_nothing():
-    calm, rates = quota_fleet.whole()
+    calm, rates = quota_fleet.zipf_fleet()
     calm.load(rates, 40.0)
-    hot, _ = quota_fleet.whole()
+    hot, _ = quota_fleet.zipf_fleet()
     hot.load({**rates, HOT: 6 * rates[HOT]}, 40.0)
     limit = hot.workspaces[HOT].quota
     assert len(hot.admitted[HOT]) >= 0.95 * limit.rate * 40.0
@@ -187,7 +187,7 @@
 
 def test_a_fleet_that_is_too_generous_is_found(monkeypatch):
     found = quota.part_of(quota_fleet.workspaces.Quota(10.0, 10.0), quota_fleet.BOUND, 6)
-    deep = quota.Part(found.rate, found.depth * quota.LIVES, found.holders)
+    deep = quota.Part(found.rate, found.depth * quota.MAX_LIVES, found.holders)
     monkeypatch.setattr(quota, "part_of", lambda limit, bound, halls: deep)
     fleet = one_workspace(10.0, (5,) * 6)
     fleet.load({"w": 60.0}, 6.0)
@@ -196,7 +196,7 @@
 
 
 def test_a_kill_of_all_costs_no_request_below_the_limit():
-    fleet, rates = quota_fleet.whole()
+    fleet, rates = quota_fleet.zipf_fleet()
     fleet.load(rates, 5.0)
     fleet.restart(*fleet.instances)
     fleet.run(2.0)
@@ -205,7 +205,7 @@
 
 
 def test_halls_that_are_all_cut_from_each_other_have_their_parts():
-    fleet, rates = quota_fleet.whole()
+    fleet, rates = quota_fleet.zipf_fleet()
     fleet.load(rates, 5.0)
     fleet.cut_halls()
     fleet.load(rates, 40.0)
@@ -291,7 +291,7 @@
     fleet.load({"w": 200.0}, 5.0)
     after = sum(one.holder.counts["lives"] for one in fleet.instances.values())
     assert after == lives
-    assert len(fleet.admitted["w"]) - before <= quota_fleet.BOUND.most(
+    assert len(fleet.admitted["w"]) - before <= quota_fleet.BOUND.max_requests(
         quota_fleet.workspaces.Quota(1.0, 1.0)
     )
 
--- a/tests/test_quota_model.py
+++ b/tests/test_quota_model.py
@@ -48,23 +48,24 @@
 
     def key(self):
         buckets = tuple(
-            (one._tokens, one._at, tuple(one._moved), tuple(one._granted)) for one in self.buckets
+            (one._tokens, one._updated_at, tuple(one._overflow), tuple(one._returnable))
+            for one in self.buckets
         )
         under_way, spent = tuple(sorted(self.under_way)), tuple(sorted(self.spent))
         return buckets, self.lives, self.now, under_way, spent
 
 
 def copied(bucket):
-    other = quota.Bucket(bucket.part, bucket._at)
-    other._tokens, other._moved = bucket._tokens, list(bucket._moved)
-    other._granted = list(bucket._granted)
+    other = quota.Bucket(bucket.part, bucket._updated_at)
+    other._tokens, other._overflow = bucket._tokens, list(bucket._overflow)
+    other._returnable = list(bucket._returnable)
     return other
 
 
 @pytest.fixture(autouse=True)
 def _short_lives(monkeypatch):
-    monkeypatch.setattr(quota, "MOVE_SECONDS", MOVE)
-    monkeypatch.setattr(quota, "RETURN_SECONDS", RETURN)
+    monkeypatch.setattr(quota, "TRANSFER_TTL_SECONDS", MOVE)
+    monkeypatch.setattr(quota, "RETURN_WINDOW_SECONDS", RETURN)
 
 
 def actions(world, bound):
@@ -127,13 +128,13 @@
     kind, one, life, at, *more = world.under_way[place]
     lose(world, place)
     if kind == "pull":
-        amount = world.buckets[1 - one].give(world.now, 1.0, 1.0)
+        amount = world.buckets[1 - one].transfer_out(world.now, 1.0, 1.0)
         return send(world, bound, ("share", one, life, at, amount))
     if life != world.lives[one]:
         # What was asked for by a process that is gone finds nobody.
         return True
     if kind == "share":
-        world.buckets[one].add(more[0], at, world.now)
+        world.buckets[one].transfer_in(more[0], at, world.now)
     else:
         world.buckets[one].put_back(at, world.now)
     return True
@@ -175,6 +176,6 @@
 
 
 def test_the_model_finds_tokens_that_are_saved_outside_the_bucket(monkeypatch):
-    monkeypatch.setattr(quota.Bucket, "_trim", lambda bucket: None)
+    monkeypatch.setattr(quota.Bucket, "_trim_returnable", lambda bucket: None)
     with pytest.raises(AssertionError):
         explore(Bound(3, 1, 0))
--- a/tests/test_quota_starts.py
+++ b/tests/test_quota_starts.py
@@ -76,7 +76,7 @@
     before = len(world.runs)
     others = [f"akl-{number}" for number in range(1, NODES + 1) if f"akl-{number}" != holder]
     send(world, others, int((WINDOW - 1.0) / PACE), PACE)
-    assert len(world.runs) - before <= world.quota_bound.most(quota_of(world))
+    assert len(world.runs) - before <= world.quota_bound.max_requests(quota_of(world))
 
 
 def quota_of(world):
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("cut_off", [0, 1, 2])
 def test_a_start_of_all_keeps_the_limit_where_the_store_turns_some_away(cut_off):
     world = build()
-    allowed = world.quota_bound.most(quota_of(world))
+    allowed = world.quota_bound.max_requests(quota_of(world))
     names = list(world.nodes)
     turned_away = [name for name in names if int(name[-1]) <= cut_off]
     start_again(world, names, turned_away)
@@ -125,7 +125,7 @@
         world.network.cut(world.address_of(one), world.address_of(other))
     ask_all(world, north, 1, int(calm / 2.0), 2.0)
     admitted = ask_all(world, north, int(burst / 10), int((WINDOW - 0.5) / PULSE), PULSE)
-    assert 0 < admitted <= quota.QuotaBound(WINDOW, 0.1, 20.0).most(limit)
+    assert 0 < admitted <= quota.QuotaBound(WINDOW, 0.1, 20.0).max_requests(limit)
 
 
 def ask_all(world, workspace, times, rounds, pause):
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -71,7 +71,7 @@
         return found
 
     def ticket(self, name):
-        return self.runs[name].mint(caller_http.TicketsBody())[0]
+        return self.runs[name].issue(caller_http.TicketsBody())[0]
 
     @property
     def started(self):
--- a/tests/test_soak_workspaces.py
+++ b/tests/test_soak_workspaces.py
@@ -117,7 +117,7 @@
         [arrival("a", at=sent_at + 0.05)],
         configured(0.0, NORTH),
         configured(10.0, WITHOUT_N1),
-        revocation=access.Revocation(True, 5.0),
+        revocation=access.RevocationPolicy(True, 5.0),
         **more,
     )
     assert ("strict revocation" in found) == is_broken
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -42,7 +42,7 @@
     expected = workspaces.Workspace(
         "north", 2, workspaces.Quota(40.0, 12.5), homes=frozenset(["akl"])
     )
-    assert found.is_used
+    assert found.requires_keys
     assert found.all == [expected]
     assert found.find(SECRET.encode()) == found.find(b"second") == expected
     assert found.find(b"third") is None
@@ -57,13 +57,13 @@
 
 def test_a_workspace_may_have_lost_all_its_keys():
     found = decode([{"Name": "north", "ApiKeys": []}, {"Name": "south"}]).workspaces
-    assert found.is_used
+    assert found.requires_keys
     assert len(found.all) == 2
 
 
 @pytest.mark.parametrize("tenants", [None, []])
 def test_without_workspaces_no_request_needs_a_key(tenants):
-    assert not decode(tenants).workspaces.is_used
+    assert not decode(tenants).workspaces.requires_keys
 
 
 @pytest.mark.parametrize(
