--- a/src/lineworks/decisions/admission.py
+++ b/src/lineworks/decisions/admission.py
@@ -134,7 +134,7 @@
         self._limit.on_answer(now, wait, latency, self._in_flight)
 
     def abandon(self) -> None:
-        """Record the end of an admitted query that yields no measurement, such as a cancelled one."""
+        """Record the end of an admitted query without measurements, such as a cancelled one."""
         self._in_flight -= 1
 
     def remove(self, item: T) -> bool:
