--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who may be served, on whose behalf, and when a refusal is certain."""
+"""Authorization of requests: which workspace they run for, and when a refusal is conclusive."""
 
 from __future__ import annotations
 
@@ -39,24 +39,24 @@
     return routes.RouteTable(1, listed, [], routes.CallerLimits(), found)
 
 
-def judge(key, is_public=False, knowledge=FRESH, revocation=LENIENT):
+def judge(key, is_public=False, freshness=FRESH, revocation=LENIENT):
     asked = route(is_public=is_public)
-    return access.judge(table(asked), asked, key, knowledge, revocation)
+    return access.judge(table(asked), asked, key, freshness, revocation)
 
 
 @pytest.mark.parametrize("revocation", [LENIENT, STRICT])
-@pytest.mark.parametrize("knowledge", [FRESH, OLD, OUTDATED])
+@pytest.mark.parametrize("freshness", [FRESH, OLD, OUTDATED])
 @pytest.mark.parametrize("key", [None, UNKNOWN])
-def test_without_workspaces_every_request_is_served(key, knowledge, revocation):
+def test_every_request_is_served_if_no_workspaces_are_configured(key, freshness, revocation):
     asked = route()
     found = routes.RouteTable(1, [asked], [], routes.CallerLimits())
-    served = access.judge(found, asked, key, knowledge, revocation)
+    served = access.judge(found, asked, key, freshness, revocation)
     assert served == access.AccessDecision(asked)
     assert served.route is asked
 
 
 @pytest.mark.parametrize(
-    ("key", "is_public", "knowledge", "revocation", "name", "reason"),
+    ("key", "is_public", "freshness", "revocation", "name", "reason"),
     [
         (KNOWN, False, FRESH, LENIENT, "north", None),
         (KNOWN, False, OLD, LENIENT, "north", None),
@@ -85,22 +85,24 @@
         (b"", False, FRESH, LENIENT, None, verdict.Reason.UNKNOWN_KEY),
     ],
 )
-def test_what_a_key_allows(key, is_public, knowledge, revocation, name, reason):
-    found = judge(key, is_public, knowledge, revocation)
+def test_decision_by_key_route_freshness_and_revocation_policy(
+    key, is_public, freshness, revocation, name, reason
+):
+    found = judge(key, is_public, freshness, revocation)
     assert (found.workspace.name if found.workspace else None) == name
     assert (found.refusal.reason if found.refusal else None) == reason
     assert found.refusal is None or found.refusal.is_not_run
 
 
-def test_a_refusal_is_certain_for_a_shorter_time_than_a_change_may_take():
-    certain = access.ConfigurationFreshness(access.MAX_CONCLUSIVE_AGE_SECONDS)
-    assert judge(UNKNOWN, knowledge=certain).refusal.reason is verdict.Reason.UNKNOWN_KEY
+def test_an_unknown_key_is_conclusive_only_while_the_configuration_is_recent():
+    recent = access.ConfigurationFreshness(access.MAX_CONCLUSIVE_AGE_SECONDS)
+    assert judge(UNKNOWN, freshness=recent).refusal.reason is verdict.Reason.UNKNOWN_KEY
     older = access.ConfigurationFreshness(access.MAX_CONCLUSIVE_AGE_SECONDS + 0.01)
-    assert judge(UNKNOWN, knowledge=older).refusal.reason is verdict.Reason.KEY_UNSURE
+    assert judge(UNKNOWN, freshness=older).refusal.reason is verdict.Reason.KEY_UNSURE
 
 
 @pytest.mark.parametrize(("own", "expected"), [(None, 3), (0, 0), (7, 7)])
-def test_the_priority_of_a_workspace_goes_before_that_of_the_route(own, expected):
+def test_a_workspace_priority_overrides_the_route_priority(own, expected):
     asked = route(priority=3)
     found = access.judge(table(asked, priority=own), asked, KNOWN, FRESH, LENIENT)
     assert found.route.priority == expected
@@ -116,14 +118,14 @@
         (("akl",), ("chc",), routes.NOWHERE),
     ],
 )
-def test_home_regions_of_route_and_workspace_both_bind(of_route, of_workspace, expected):
+def test_home_regions_of_route_and_workspace_are_intersected(of_route, of_workspace, expected):
     asked = route(homes=frozenset(of_route))
     known = table(asked, homes=frozenset(of_workspace))
     found = access.judge(known, asked, KNOWN, FRESH, LENIENT)
     assert found.route.homes == expected
 
 
-def test_the_route_of_a_workspace_is_made_once_and_keeps_its_name():
+def test_the_route_of_a_workspace_is_cached_and_keeps_its_name():
     listed = [route("read"), route("write")]
     known = table(*listed, priority=1)
     first = access.judge(known, listed[0], KNOWN, FRESH, LENIENT).route
@@ -133,7 +135,7 @@
     assert (first.name, other.name) == ("read", "write")
 
 
-def test_two_routes_of_one_name_stay_apart_for_a_workspace():
+def test_routes_with_the_same_name_are_cached_separately_for_a_workspace():
     first, second = route("one"), dataclasses.replace(route("two"), name="one")
     found = table(first, second)
     for asked in (first, second):
--- a/tests/test_acting_together.py
+++ b/tests/test_acting_together.py
@@ -1,4 +1,4 @@
-"""Whole fleets in memory: extra attempts and evidence that a data hall holds together."""
+"""In-memory fleets: extra attempts and slow-target evidence that instances of a hall share."""
 
 from __future__ import annotations
 
@@ -14,26 +14,29 @@
 
 @pytest.fixture(scope="module")
 def slow_targets():
-    """Worth of a fleet of 60 while 15 of 100 targets are slow, with and without what is shared."""
+    """Value of searches in a fleet of 60 before and after 15 of 100 targets turn slow.
+
+    With both sharing mechanisms, and without either one of them.
+    """
     return {
         without: fleet.replay_slow_targets(fleet.Plan(without=frozenset(without)))
         for without in ((), (ATTEMPTS,), (EVIDENCE,))
     }
 
 
-def test_a_large_fleet_serves_while_targets_are_slow(slow_targets):
+def test_a_large_fleet_keeps_serving_while_targets_are_slow(slow_targets):
     before, after = slow_targets[()]
     assert before > 0.99
     assert after > 0.8
 
 
 @pytest.mark.parametrize("without", [(ATTEMPTS,), (EVIDENCE,)])
-def test_each_part_is_needed_for_it(slow_targets, without):
+def test_each_sharing_mechanism_is_needed_while_targets_are_slow(slow_targets, without):
     assert slow_targets[without][1] < slow_targets[()][1] - 0.1
 
 
-def make_hungry():
-    """Make a fleet that wants far more extra attempts than there are: most targets refuse."""
+def make_fleet_with_excess_demand():
+    """Make a fleet that needs far more extra attempts than allowed, because most targets refuse."""
     made = fleet.Fleet(fleet.Plan(instances=4, shards=8, slack=54.0, rate=30.0))
     made.refuse(0.7)
     return made
@@ -60,24 +63,24 @@
                 made.world.network.cut(made.world.address_of(one), made.world.address_of(other))
 
 
-def calm(made):
+def no_fault(made):
     made.load(12.0)
 
 
-def all_killed_again_and_again(made):
+def all_instances_restarted_repeatedly(made):
     for _ in range(4):
         made.load(2.5)
         restart(made, made.names)
     made.load(3.0)
 
 
-def halves_cut(made):
+def halls_partitioned(made):
     made.load(3.0)
     cut_halls(made)
     made.load(9.0)
 
 
-def keepers_frozen_and_woken(made):
+def keepers_frozen_and_resumed(made):
     for _ in range(3):
         frozen = [made.world.host_of(keeper_of(made, hall)) for hall in ("akl", "wlg", "chc")]
         for host in frozen:
@@ -88,7 +91,7 @@
         made.load(2.0)
 
 
-def keepers_killed(made):
+def keepers_restarted(made):
     for _ in range(4):
         made.load(2.0)
         restart(made, [keeper_of(made, hall) for hall in ("akl", "wlg", "chc")])
@@ -96,19 +99,25 @@
 
 
 @pytest.mark.parametrize(
-    "trouble",
-    [calm, all_killed_again_and_again, halves_cut, keepers_frozen_and_woken, keepers_killed],
+    "fault",
+    [
+        no_fault,
+        all_instances_restarted_repeatedly,
+        halls_partitioned,
+        keepers_frozen_and_resumed,
+        keepers_restarted,
+    ],
 )
-def test_no_window_gets_more_than_the_allowance(trouble):
-    made = make_hungry()
-    trouble(made)
+def test_no_window_exceeds_the_allowance(fault):
+    made = make_fleet_with_excess_demand()
+    fault(made)
     assert made.worst_excess() <= 0
 
 
-def test_a_fleet_that_is_too_generous_is_found(monkeypatch):
+def test_the_check_detects_a_fleet_that_exceeds_the_allowance(monkeypatch):
     monkeypatch.setattr(extra_attempts, "USABLE_SLACK", 4.0)
-    made = make_hungry()
-    calm(made)
+    made = make_fleet_with_excess_demand()
+    no_fault(made)
     assert made.worst_excess() > 0
 
 
@@ -117,8 +126,8 @@
 
 
 @pytest.mark.parametrize("fault", ["freeze", "kill", "power_off"])
-def test_the_loss_of_a_keeper_costs_its_hall_one_time_out(fault):
-    # An instance that learns nothing of slow targets goes on to hedge.
+def test_a_hall_gets_grants_again_after_its_keeper_is_lost(fault):
+    # Without evidence about slow targets, instances keep hedging.
     without = frozenset((EVIDENCE, mechanisms.Mechanism.SLOW_AVOIDANCE))
     made = fleet.Fleet(fleet.Plan(instances=4, shards=8, slack=200.0, rate=30.0, without=without))
     made.make_slow(0.6)
@@ -133,7 +142,7 @@
     assert granted(others) > before + 5
 
 
-def test_an_instance_alone_in_its_hall_still_has_its_own_part():
+def test_a_single_instance_in_a_hall_spends_its_own_credit():
     made = fleet.Fleet(fleet.Plan(instances=1, shards=8, slack=54.0, rate=10.0))
     made.make_slow(0.6)
     made.load(6.0)
@@ -142,19 +151,19 @@
         assert node._keeper.counts["unanswered"] == 0
 
 
-def test_nothing_is_asked_for_while_all_is_well():
+def test_no_credit_is_collected_without_faults():
     made = fleet.Fleet(fleet.Plan(instances=3, shards=8))
     made.load(4.0)
     for node in made.world.nodes.values():
         assert node._keeper.counts["collections"] == 0
 
 
-def test_a_search_goes_on_elsewhere_long_before_its_aim_when_a_target_is_dark():
+def test_a_search_fails_over_long_before_its_latency_target_if_a_target_is_unreachable():
     made = fleet.Fleet(fleet.Plan(instances=2, shards=8))
-    dark = [target for target in made.world.targets.values() if target.hall == "akl"]
-    for target in dark:
+    unreachable = [target for target in made.world.targets.values() if target.hall == "akl"]
+    for target in unreachable:
         target.host.power_off()
-    # Nothing is connected yet, and the own hall is asked first.
+    # No connection is open yet, and targets in the same hall are tried first.
     reply = made.world.ask("akl-0", "/search/q")
     made.world.run(1.0)
     assert reply.status == 200
@@ -166,7 +175,7 @@
     return sum(node._evidence.counts[kind] for node in made.world.nodes.values())
 
 
-def test_the_hall_is_told_what_the_keeper_made_of_several_reports():
+def test_a_keeper_combines_reports_and_distributes_the_result_in_its_hall():
     made = fleet.Fleet(fleet.Plan(instances=4, shards=8, rate=30.0))
     made.load(2.0)
     assert reports(made, "beliefs_told") == 0
@@ -174,7 +183,7 @@
     made.load(3.0)
     targets = made.world.targets.values()
     slow = {target.name: target.hall for target in targets if target.work() > 0.3}
-    # Halls without a slow target ask gatherers in the others, which avoid it.
+    # Halls without a slow target send to gatherers in the other halls, which avoid it.
     for hall in set(slow.values()):
         keeper = keeper_of(made, hall)
         for name in made.names:
@@ -189,7 +198,7 @@
         assert len(wrong) <= 1
 
 
-def test_an_instance_that_is_alone_in_its_hall_weighs_its_own_reports():
+def test_a_single_instance_in_a_hall_evaluates_its_own_reports():
     made = fleet.Fleet(fleet.Plan(instances=1, shards=8, rate=10.0))
     made.make_slow(0.3)
     made.load(3.0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,12 +1,12 @@
-"""Class-fair admission."""
+"""Admission control: weighted fair queuing over classes, and the adaptive concurrency limit."""
 
 from __future__ import annotations
 
 from lineworks.decisions import admission, limits, verdict
 
 
-class _Fixed:
-    """A limit that learns nothing."""
+class _FixedLimit:
+    """A limit that does not adapt."""
 
     def __init__(self, value):
         self.value = value
@@ -15,9 +15,11 @@
         pass
 
 
-def make(limit=1, patience=10.0):
+def make(limit=1, max_wait=10.0):
     expired = []
-    queue = admission.Admission(_Fixed(limit), patience, lambda item, why: expired.append(item))
+    queue = admission.Admission(
+        _FixedLimit(limit), max_wait, lambda item, refusal: expired.append(item)
+    )
     return queue, expired
 
 
@@ -29,7 +31,7 @@
     assert queue.in_flight == 2
 
 
-def test_classes_share_by_weight():
+def test_classes_are_served_in_proportion_to_their_weights():
     queue, _ = make()
     queue.offer("first", "x", 1.0, 0.0, 1000.0)
     for number in range(40):
@@ -42,7 +44,7 @@
     assert 28 <= order.count("heavy") <= 32
 
 
-def test_a_query_that_cannot_be_in_time_is_refused_as_not_run():
+def test_a_query_that_cannot_meet_its_deadline_is_refused_as_not_run():
     queue, _ = make()
     queue.offer("a", "c", 1.0, 0.0, 5.0)
     queue.finish(1.0, 1.0, 0.0)
@@ -53,7 +55,7 @@
     assert found.reason is verdict.Reason.OVERLOADED
 
 
-def test_a_query_whose_time_ran_out_in_the_queue_is_not_started():
+def test_a_query_that_expires_in_the_queue_is_not_started():
     queue, expired = make()
     queue.offer("a", "c", 1.0, 0.0, 50.0)
     queue.offer("b", "c", 1.0, 0.0, 2.0)
@@ -63,8 +65,8 @@
     assert expired == ["b"]
 
 
-def test_a_standing_queue_is_shorter_than_a_burst():
-    queue, _ = make(patience=0.5)
+def test_the_queue_is_limited_by_max_wait_only_while_it_is_standing():
+    queue, _ = make(max_wait=0.5)
     queue.offer("a", "c", 1.0, 0.0, 50.0)
     queue.finish(0.0, 1.0, 0.0)
     queue.offer("b", "c", 1.0, 0.0, 50.0)
@@ -85,7 +87,7 @@
 
 
 def test_the_limit_grows_again_from_its_floor():
-    """Found by the overload bench: an unrounded comparison kept the limit at 2 for good."""
+    """Comparing with the unrounded limit kept it at its floor of 2 forever."""
     limit = limits.QueryLimit(0.1)
     for number in range(50):
         limit.on_answer(float(number), wait=1.0, latency=0.1, in_flight=limit.value)
@@ -95,7 +97,7 @@
     assert limit.value > 4
 
 
-def test_the_limit_does_not_grow_while_it_is_not_used():
+def test_the_limit_does_not_grow_while_it_is_not_reached():
     limit = limits.QueryLimit(0.1)
     before = limit.value
     for number in range(200):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: the pure merge, and the writer under faults of the platform."""
+"""Claims of idempotency keys: merging buckets, and the claim writer under platform faults."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
     return claims.Claim(key, nonce, instance, "f", expires)
 
 
-def test_the_first_claim_of_a_key_holds():
+def test_the_first_claim_of_a_key_wins():
     first, second = claim(nonce="1"), claim(nonce="2", instance="b")
     merged = claims.merge(claims.merge(None, [first], 0.0).data, [second], 0.0)
     assert merged.won == ()
     assert merged.lost == {"2": first}
 
 
-def test_an_expired_claim_is_forgotten():
+def test_an_expired_claim_is_dropped():
     old = claims.merge(None, [claim(expires=10.0)], 0.0).data
     assert claims.merge(old, [claim(nonce="2")], 11.0).won[0].nonce == "2"
 
 
-def test_a_full_bucket_takes_no_more():
+def test_a_full_bucket_accepts_no_more_claims():
     many = [claim(key=f"{number:032d}") for number in range(20000)]
     with pytest.raises(claims.BucketFullError):
         claims.merge(None, many, 0.0)
 
 
-def test_workspaces_have_keys_of_their_own():
+def test_each_workspace_has_its_own_namespace_of_keys():
     assert claims.digest("a", "k") != claims.digest("b", "k")
 
 
@@ -46,7 +46,7 @@
         self.platform = platforms.Platform(self.clock, random.Random(seed))
         self.ports = [platforms.PlatformPort(self.platform) for _ in range(writers)]
         for port in self.ports:
-            # They have been in contact with the store for a while.
+            # The ports already know the era of the store.
             port.era.learn(self.platform.model.era)
         self.writers = [
             claim_writer.ClaimWriter(
@@ -63,7 +63,7 @@
         return found
 
 
-def test_many_claims_are_written_together():
+def test_concurrent_claims_are_written_in_one_call():
     world = _World()
     key = "0" * 8
     found = [world.ask(0, claim(key=f"{key}{n:024d}", nonce=str(n))) for n in range(50)]
@@ -72,7 +72,7 @@
     assert world.platform.calls["write"] == 1
 
 
-def test_the_platform_is_down():
+def test_a_claim_is_refused_while_the_platform_is_down():
     world = _World()
     world.platform.faults.is_down = True
     found = world.ask(0, claim())
@@ -82,7 +82,7 @@
     assert "ticket" in found[0].detail
 
 
-def test_a_lost_reply_is_settled_by_reading_back():
+def test_a_lost_reply_is_resolved_by_reading_the_bucket_back():
     world = _World()
     port = world.ports[0]
     write = port.compare_and_swap
@@ -131,24 +131,26 @@
     assert all(item.is_not_run for item in refused)
 
 
-def lose_since(world, copy):
-    """Let the store come back from an older copy."""
+def restore_store(world, copy):
+    """Restore the store from an older copy."""
     world.platform.model.come_back(copy)
 
 
-def test_a_claim_that_the_store_lost_still_holds():
-    """A key was claimed and its request ran. The store came back from a copy without the claim, and
-    another instance claimed the key for the caller's second try, which ran once more."""
+def test_a_claim_that_the_store_lost_is_still_in_effect():
+    """A store restored from an older copy must not let another instance claim the same key.
+
+    Otherwise the caller's retry would run the request a second time.
+    """
     world = _World()
     copy = world.platform.model.copy()
     first = world.ask(0, claim(nonce="1"))
     world.clock.run_until(1.0)
     assert first[0].nonce == "1"
-    lose_since(world, copy)
+    restore_store(world, copy)
     second = world.ask(1, claim(nonce="2", instance="b"))
     world.clock.run_until(2.0)
     assert second[0].is_not_run
-    # The instances tell each other of the return with their heartbeats.
+    # Instances learn of the restore from each other's heartbeats.
     world.ports[0].era.learn(world.ports[1].era.value)
     world.clock.run_until(2.0 + claim_writer.SETTLE_SECONDS)
     third = world.ask(1, claim(nonce="3", instance="b"))
@@ -156,7 +158,7 @@
     assert third[0].nonce == "1"
 
 
-def test_a_key_is_refused_at_once_while_lost_claims_are_written_again():
+def test_claims_are_refused_immediately_while_lost_claims_are_rewritten():
     world = _World()
     world.ask(0, claim(nonce="1"))
     world.clock.run_until(1.0)
@@ -166,27 +168,27 @@
     assert found[0].reason is verdict.Reason.PLATFORM_UNSURE
 
 
-def test_a_claim_whose_write_meets_the_return_is_refused():
+def test_a_claim_written_during_a_restore_is_refused():
     world = _World()
     world.ask(0, claim(key="0" * 32, nonce="0"))
     world.clock.run_until(1.0)
     copy = world.platform.model.copy()
     key = "0" * 31 + "1"
     found = world.ask(0, claim(key=key, nonce="1"))
-    world.clock.callLater(claim_writer.GROUP_SECONDS + 0.003, lose_since, world, copy)
+    world.clock.callLater(claim_writer.GROUP_SECONDS + 0.003, restore_store, world, copy)
     world.clock.run_until(9.0)
     held = claims.decode_bucket(world.platform.values[claims.bucket_key(key)][0])
     assert found[0].is_not_run
     assert key not in held
 
 
-def test_an_instance_that_starts_after_the_return_takes_no_key_too_soon():
+def test_an_instance_that_starts_after_a_restore_does_not_claim_a_lost_key():
     world = _World()
     copy = world.platform.model.copy()
     first = world.ask(0, claim(nonce="1"))
     world.clock.run_until(1.0)
     assert first[0].nonce == "1"
-    lose_since(world, copy)
+    restore_store(world, copy)
     port = platforms.PlatformPort(world.platform)
     started = claim_writer.ClaimWriter(world.clock, random.Random(7), port, world.clock.seconds)
     world.writers.append(started)
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines shrink on the way and never grow."""
+"""Deadlines are reduced at each hop and never extended."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 @pytest.mark.parametrize(("allowed", "kept"), [(1.0, 0.02), (0.1, 0.005), (60.0, 0.02)])
-def test_a_front_answers_before_its_caller_gives_up(allowed, kept):
+def test_a_front_reserves_time_to_return_its_response(allowed, kept):
     assert deadlines.for_answer(10.0, allowed) == pytest.approx(10.0 + allowed - kept)
 
 
-def test_each_hop_leaves_time_for_the_way_back():
+def test_each_hop_reserves_time_for_its_response():
     assert deadlines.for_next_hop(10.0, 0.008) == pytest.approx(9.992 - deadlines.HOP_MARGIN)
 
 
--- a/tests/test_extra_attempts.py
+++ b/tests/test_extra_attempts.py
@@ -300,8 +300,8 @@
     assert not book.spend("s", 0.0)
     for step in range(100):
         book.note_request("s", step * 0.05)
-    assert book.left("s", 5.0) > 15
-    assert book.left("s", 16.0) < 1
+    assert book.remaining("s", 5.0) > 15
+    assert book.remaining("s", 16.0) < 1
 
 
 def test_a_small_share_and_a_little_credit_make_one_attempt():
@@ -340,8 +340,8 @@
 
 def test_credit_ends_where_it_is_kept_and_where_it_is_granted():
     book = keep(2.0)
-    assert book.left("s", 1.0 + extra_attempts.POOL_TTL_SECONDS - 0.01) == 2.0
-    assert book.left("s", 1.0 + extra_attempts.POOL_TTL_SECONDS) == 0.0
+    assert book.remaining("s", 1.0 + extra_attempts.POOL_TTL_SECONDS - 0.01) == 2.0
+    assert book.remaining("s", 1.0 + extra_attempts.POOL_TTL_SECONDS) == 0.0
     book.accept_grant("s", 2.0)
     assert not book.spend("s", 2.0)
     book.accept_grant("s", 2.1)
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Fingerprints tell apart what is asked, and not who asks for the how-manieth time."""
+"""Fingerprints identify the content of a request and are the same for each attempt."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 @hypothesis.given(PARTS, PARTS)
-def test_only_the_same_parts_have_the_same_fingerprint(one, other):
+def test_fingerprints_are_equal_only_for_equal_parts(one, other):
     same = fingerprints.fingerprint(*one) == fingerprints.fingerprint(*other)
     assert same == (one == other)
 
 
-def test_parts_that_read_the_same_one_after_the_other_are_told_apart():
+def test_parts_with_the_same_concatenation_have_different_fingerprints():
     assert fingerprints.fingerprint(b"GET", b"ab", b"c", b"", b"") != fingerprints.fingerprint(
         b"GET", b"a", b"bc", b"", b""
     )
 
 
-def test_a_caller_is_named_by_its_credentials():
+def test_a_caller_is_identified_by_its_credentials():
     fields = [(b"x-attempt-id", b"1"), (b"authorization", b"Bearer a"), (b"accept", b"*")]
     assert headers.read_caller(fields) == b"Bearer a"
     assert headers.read_caller(fields[:1]) == b""
