--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -1,4 +1,4 @@
-"""Instances of many data halls with the real parts that hold quotas, on links in memory."""
+"""In-memory fleet of instances in several data halls, with the real quota components."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 BOUND = quota.QuotaBound(5.0, 0.1, 20.0)
 HALLS = {"b1": "b", "b2": "b", "p1": "p", "p2": "p", "d1": "d", "d2": "d"}
-BEAT = 2.0
-SILENCE = 4.5
-FOREIGN = (node_frames.QuotaPull, node_frames.QuotaShare)
+HEARTBEAT_SECONDS = 2.0
+SILENCE_TIMEOUT = 4.5
+CROSS_HALL_FRAMES = (node_frames.QuotaPull, node_frames.QuotaShare)
 
 
 class Timer:
@@ -37,7 +37,7 @@
 
 
 class Reactor:
-    """The clock as one process sees it: nothing runs once it is gone, or while it is frozen."""
+    """The reactor of one process: runs nothing once the process has ended or while it is frozen."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -60,7 +60,7 @@
 
 
 class Link:
-    """One end of a link."""
+    """One end of a link between two instances."""
 
     def __init__(self, fleet, mine, other):
         self.fleet, self.mine, self.other = fleet, mine, other
@@ -70,7 +70,7 @@
     def heard_at(self):
         end = self.fleet.silent_since.get((self.other.name, self.mine.name), math.inf)
         now = min(self.fleet.clock.seconds(), end)
-        return now - now % BEAT
+        return now - now % HEARTBEAT_SECONDS
 
     def send(self, frame):
         self.fleet.carry(self.mine, self.other, frame)
@@ -98,7 +98,7 @@
 
 
 class Instance:
-    """One process."""
+    """One process of the query tier."""
 
     def __init__(self, fleet, name, hall, incarnation):
         self.name, self.hall, self.incarnation = name, hall, incarnation
@@ -119,7 +119,7 @@
 
 
 class Fleet:
-    """Instances and what lies between them."""
+    """Instances and the network between them."""
 
     def __init__(self, sizes, limits, seed=1, halls=HALLS):
         self.clock = fakes.VirtualClock()
@@ -184,7 +184,7 @@
             return
         self.messages[type(frame).__name__] += 1
         if sender.hall != receiver.hall:
-            assert isinstance(frame, FOREIGN), "only tokens travel between halls"
+            assert isinstance(frame, CROSS_HALL_FRAMES), "only token transfers may cross halls"
             self.messages["between halls"] += 1
         data = codec.encode(frame, self.now)
         arrive = lambda: receiver.reactor.run(lambda: self.take(sender, receiver, data))  # noqa: E731
@@ -227,7 +227,7 @@
             if one.name != other.name:
                 self.silent_since[(one.name, other.name)] = self.now
                 self.silent_since[(other.name, one.name)] = self.now
-                self.clock.callLater(SILENCE, self.end_silent, one, other)
+                self.clock.callLater(SILENCE_TIMEOUT, self.end_silent, one, other)
 
     def end_silent(self, one, other):
         if self.is_cut(one, other):
@@ -271,9 +271,9 @@
         """Send requests at random times.
 
         Args:
-            rates: Requests a second by workspace.
-            seconds: How long.
-            choose: Chooses the instance for a workspace; any when not given.
+            rates: Requests per second by workspace.
+            seconds: Duration in seconds.
+            choose: Returns the instance for a workspace; a random one by default.
         """
         choose = choose or (lambda workspace: self.rng.choice(list(self.instances)))
         names, weights = list(rates), list(rates.values())
@@ -291,7 +291,7 @@
         self.run(seconds + 0.3)
 
     def worst_excess(self):
-        """Tell by how much the fullest window of any workspace is over the bound."""
+        """Return by how much the fullest window of any workspace exceeds the bound."""
         worst = -math.inf
         for name, times in self.admitted.items():
             times = sorted(times)
@@ -307,17 +307,17 @@
 
 
 def zipf(count=88, exponent=1.2, rate=REQUESTS_A_SECOND):
-    """Tell the usual rates of workspaces: a few large ones, many small ones."""
+    """Return Zipf-distributed request rates by workspace: a few large ones, many small ones."""
     weights = [1 / (number + 1) ** exponent for number in range(count)]
     return {f"w{n:02d}": rate * weight / sum(weights) for n, weight in enumerate(weights)}
 
 
 def usual_limits(rates):
-    """Give each workspace 1.6 times its usual rate, and as much at once."""
+    """Return limits by workspace: 1.6 times its usual rate, and as many requests as burst."""
     return {name: (max(1.0, 1.6 * rate),) * 2 for name, rate in rates.items()}
 
 
 def zipf_fleet(seed=1):
-    """Make a fleet of 91 in six halls."""
+    """Make a fleet of 91 instances in six halls, with Zipf-distributed workspaces."""
     rates = zipf()
     return Fleet(SIZES, usual_limits(rates), seed), rates
--- a/tests/test_extra_attempts.py
+++ b/tests/test_extra_attempts.py
@@ -1,4 +1,4 @@
-"""The allowance of extra attempts holds for all instances together in every sliding window."""
+"""Extra attempts of all instances together stay within the allowance in every sliding window."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Fleet:
-    """Instances that collect, ask and spend at random, as soon and as much as they can."""
+    """Simulated instances that collect, request and spend as much credit as they can."""
 
     def __init__(self, seed, size, seconds=45.0):
         self.rng = random.Random(seed)
@@ -31,8 +31,8 @@
         self.lost = 0.0
         self.held_until = 0.0
         self.requests, self.extras = [], []
-        self.counts = requests_in_the_window
-        self.is_hungry = lambda: True
+        self.count_requests = requests_in_the_window
+        self.has_demand = lambda: True
 
     def make(self, now):
         book = extra_attempts.ExtraAttempts(ALLOWED, now)
@@ -43,13 +43,13 @@
         heapq.heappush(self.heap, (self.now + delay, next(self.order), call, args))
 
     def delay(self):
-        """Draw the time of a message; some are held up."""
+        """Draw the delay of a message; some are delayed for long."""
         if self.rng.random() < 0.3:
             return self.rng.uniform(0, self.longest_delay)
         return 0.001
 
     def pull(self, keeper):
-        """Let an instance collect from all that do not lose the message."""
+        """Let an instance collect credit from all others; each message may be lost."""
         asked_at = self.now
         book = self.books[keeper]
         book.deposit(book.withdraw_earned(asked_at), asked_at, asked_at)
@@ -85,11 +85,11 @@
                 self.books[one] = self.make(self.now)
 
     def step(self):
-        """Send a caller's request, and let somebody collect, ask and spend."""
+        """Send a caller's request, then let random instances collect, request and spend credit."""
         one, keeper = (self.rng.randrange(len(self.books)) for _ in range(2))
         self.books[one].note_request("s", self.now)
         self.requests.append(self.now)
-        if not self.is_hungry():
+        if not self.has_demand():
             return
         if self.rng.random() < 0.3:
             self.pull(keeper)
@@ -98,34 +98,34 @@
             while book.spend("s", self.now):
                 self.extras.append(self.now)
 
-    def play(self, *faults):
-        """Play to the end; faults are (time, call)."""
+    def run(self, *faults):
+        """Run the simulation and return the worst excess; faults are pairs of (time, call)."""
         for at, call in faults:
             self.later(at, call)
-        self.later(0.0, self.go_on)
+        self.later(0.0, self.run_step)
         while self.heap:
             self.now, _, call, args = heapq.heappop(self.heap)
             call(*args)
-        return worst_excess(self.requests, self.extras, self.counts)
+        return worst_excess(self.requests, self.extras, self.count_requests)
 
-    def go_on(self):
+    def run_step(self):
         self.step()
         if self.now < self.seconds:
-            self.later(self.rng.expovariate(60.0 if self.now % 9 < 6 else 10.0), self.go_on)
+            self.later(self.rng.expovariate(60.0 if self.now % 9 < 6 else 10.0), self.run_step)
 
 
 def requests_in_the_window(requests, start):
     return sum(start <= at < start + ALLOWED.window for at in requests)
 
 
-def requests_by_the_rule(requests, start):
-    """Count them in the window, the one before or the one half a window before: the most."""
+def requests_near_the_window(requests, start):
+    """Return the largest count of the window and those half a window and a window before it."""
     steps = (0.0, 0.5, 1.0)
     return max(requests_in_the_window(requests, start - step * ALLOWED.window) for step in steps)
 
 
 def worst_excess(requests, extras, count=requests_in_the_window):
-    """Tell by how much the fullest window is over the allowance; not above 0 when all is well."""
+    """Return by how much the fullest window exceeds the allowance; at most 0 if it is kept."""
     worst = -FOREVER
     for start in extras:
         end = start + ALLOWED.window
@@ -137,54 +137,54 @@
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("size", [1, 3, 7, 40])
-def test_all_together_stay_within_the_allowance(seed, size):
+def test_all_instances_together_stay_within_the_allowance(seed, size):
     fleet = Fleet(seed, size)
-    assert fleet.play() <= 0
-    assert len(fleet.extras) > 60, "most of what is allowed is of use"
+    assert fleet.run() <= 0
+    assert len(fleet.extras) > 60, "most of the allowance can be spent"
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_also_when_all_forget_what_they_spent_again_and_again(seed):
+def test_the_allowance_holds_when_all_instances_restart_repeatedly(seed):
     fleet = Fleet(seed, 7)
     faults = [(at, lambda: fleet.restart(1.0)) for at in (12.3, 13.5, 14.1, 17.0, 19.9, 21.0)]
-    assert fleet.play(*faults) <= 0
+    assert fleet.run(*faults) <= 0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_also_when_some_restart_all_the_time(seed):
+def test_the_allowance_holds_when_some_instances_restart_all_the_time(seed):
     fleet = Fleet(seed, 7)
     faults = [(at * 0.7, lambda: fleet.restart(0.4)) for at in range(60)]
-    assert fleet.play(*faults) <= 0
+    assert fleet.run(*faults) <= 0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_also_when_messages_are_lost_or_held_up_by_cuts_and_frozen_instances(seed):
+def test_the_allowance_holds_when_messages_are_lost_or_delayed(seed):
     fleet = Fleet(seed, 7)
     fleet.lost, fleet.longest_delay = 0.3, 12.0
-    assert fleet.play() <= 0
+    assert fleet.run() <= 0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_also_when_all_spend_what_they_saved_at_one_moment(seed):
+def test_the_allowance_holds_when_all_instances_spend_saved_credit_at_once(seed):
     fleet = Fleet(seed, 7)
-    fleet.is_hungry = lambda: fleet.now > 20.0
-    fleet.counts = requests_by_the_rule
-    assert fleet.play() <= 0
+    fleet.has_demand = lambda: fleet.now > 20.0
+    fleet.count_requests = requests_near_the_window
+    assert fleet.run() <= 0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_also_when_halves_are_cut_from_each_other(seed):
+def test_the_allowance_holds_when_the_fleet_is_partitioned_into_halves(seed):
     fleet = Fleet(seed, 8)
 
-    def cut():
+    def partition():
         for book in fleet.books:
             book.instances.note(4, fleet.now)
 
-    assert fleet.play((15.0, cut)) <= 0
+    assert fleet.run((15.0, partition)) <= 0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_also_when_instances_are_added(seed):
+def test_the_allowance_holds_when_instances_are_added(seed):
     fleet = Fleet(seed, 6)
 
     def add():
@@ -196,10 +196,10 @@
             book.instances.note(len(fleet.books), fleet.now)
 
     faults = [(at, add) for at in (12.0, 13.0, 14.0)] + [(at, tell) for at in (13.9, 14.9)]
-    assert fleet.play(*faults) <= 0
+    assert fleet.run(*faults) <= 0
 
 
-def keep_what_is_handed_over(monkeypatch, fleet):
+def keep_withdrawn_credit(monkeypatch, fleet):
     monkeypatch.setattr(
         extra_attempts.ExtraAttempts,
         "withdraw_earned",
@@ -207,7 +207,7 @@
     )
 
 
-def count_life_from_the_arrival(monkeypatch, fleet):
+def count_lifetime_from_arrival(monkeypatch, fleet):
     original = extra_attempts.ExtraAttempts.deposit
     monkeypatch.setattr(
         extra_attempts.ExtraAttempts,
@@ -216,12 +216,12 @@
     )
 
 
-def begin_with_credit(monkeypatch, fleet):
+def start_with_credit(monkeypatch, fleet):
     make = fleet.make
     fleet.make = lambda now: make(now - extra_attempts.EARNED_TTL_SECONDS)
 
 
-def hoard_grants(monkeypatch, fleet):
+def keep_grants_forever(monkeypatch, fleet):
     original = extra_attempts.ExtraAttempts.accept_grant
     monkeypatch.setattr(
         extra_attempts.ExtraAttempts,
@@ -230,12 +230,12 @@
     )
 
 
-def forget_who_is_out_of_sight(monkeypatch, fleet):
+def forget_unseen_instances(monkeypatch, fleet):
     monkeypatch.setattr(instance_count, "RETENTION_SECONDS", -1.0)
 
 
-def hold_up(fleet):
-    """Let all that is handed over for thirty seconds arrive at once."""
+def delay_credit(fleet):
+    """Deliver all credit that is withdrawn within thirty seconds at once."""
 
     def begin():
         fleet.held_until = 35.0
@@ -247,20 +247,20 @@
     return [(at * 0.7, lambda: fleet.restart(1.0)) for at in range(60)]
 
 
-def save(fleet):
-    """Let instances ask all the time, but spend only late."""
+def save_credit(fleet):
+    """Let instances request credit all the time, but spend it only at the end."""
 
     def ask():
         fleet.pull(0)
         for one in range(len(fleet.books)):
             fleet.ask(one, 0)
 
-    fleet.is_hungry = lambda: fleet.now > 20.0
-    fleet.counts = requests_by_the_rule
+    fleet.has_demand = lambda: fleet.now > 20.0
+    fleet.count_requests = requests_near_the_window
     return [(at * 0.5, ask) for at in range(40)]
 
 
-def cut(fleet):
+def partition(fleet):
     def forget():
         for book in fleet.books:
             book.instances.note(1, fleet.now)
@@ -269,32 +269,32 @@
 
 
 @pytest.mark.parametrize(
-    ("mistake", "load"),
+    ("mutate", "load"),
     [
-        (keep_what_is_handed_over, lambda fleet: []),
-        (count_life_from_the_arrival, hold_up),
-        (begin_with_credit, restart_often),
-        (hoard_grants, save),
-        (forget_who_is_out_of_sight, cut),
+        (keep_withdrawn_credit, lambda fleet: []),
+        (count_lifetime_from_arrival, delay_credit),
+        (start_with_credit, restart_often),
+        (keep_grants_forever, save_credit),
+        (forget_unseen_instances, partition),
     ],
 )
-def test_a_way_that_is_too_generous_is_found(monkeypatch, mistake, load):
-    # The same loads stay within the allowance without the mistake.
+def test_the_check_detects_an_implementation_that_exceeds_the_allowance(monkeypatch, mutate, load):
+    # Without the mutation, the same loads stay within the allowance.
     for seed in range(2):
         fleet = Fleet(seed, 7)
-        assert fleet.play(*load(fleet)) <= 0
+        assert fleet.run(*load(fleet)) <= 0
     fleet = Fleet(1, 7)
-    mistake(monkeypatch, fleet)
-    assert fleet.play(*load(fleet)) > 0
+    mutate(monkeypatch, fleet)
+    assert fleet.run(*load(fleet)) > 0
 
 
-def test_nothing_but_the_share_is_spent_while_the_number_of_instances_is_unknown():
+def test_only_the_share_is_spent_while_the_number_of_instances_is_unknown():
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
     book.deposit(book.withdraw_earned(20.0), 20.0, 20.0)
     assert not book.spend("s", 20.0)
 
 
-def test_requests_earn_and_the_window_forgets():
+def test_requests_earn_attempts_until_they_leave_the_window():
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
     book.instances.note(1000, 0.0)
     assert not book.spend("s", 0.0)
@@ -304,7 +304,7 @@
     assert book.remaining("s", 16.0) < 1
 
 
-def test_a_small_share_and_a_little_credit_make_one_attempt():
+def test_a_partial_share_and_partial_credit_make_one_attempt():
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
     for _ in range(4):
         book.note_request("s", 0.0)
@@ -314,14 +314,14 @@
     assert not book.spend("s", 1.0)
 
 
-def keep(amount, now=1.0):
+def make_keeper(amount, now=1.0):
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
     book.deposit(amount, now, now)
     return book
 
 
-def test_hedges_leave_a_part_to_retries():
-    book = keep(8.0)
+def test_hedges_leave_the_reserved_part_to_retries():
+    book = make_keeper(8.0)
     hedges = 0
     while book.spend("s", 1.0, extra_attempts.RESERVED_FOR_RETRIES):
         hedges += 1
@@ -331,15 +331,15 @@
     assert not book.spend("s", 1.0)
 
 
-def test_services_are_counted_apart():
-    book = keep(2.0)
+def test_credit_is_counted_per_service():
+    book = make_keeper(2.0)
     while book.spend("a", 1.0):
         pass
     assert book.spend("b", 1.0)
 
 
-def test_credit_ends_where_it_is_kept_and_where_it_is_granted():
-    book = keep(2.0)
+def test_credit_expires_in_the_pool_and_where_it_is_granted():
+    book = make_keeper(2.0)
     assert book.remaining("s", 1.0 + extra_attempts.POOL_TTL_SECONDS - 0.01) == 2.0
     assert book.remaining("s", 1.0 + extra_attempts.POOL_TTL_SECONDS) == 0.0
     book.accept_grant("s", 2.0)
@@ -348,13 +348,13 @@
     assert book.spend("s", 2.0)
 
 
-def test_credit_that_was_asked_for_long_ago_is_over():
+def test_credit_that_was_requested_too_long_ago_has_expired():
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
     book.deposit(5.0, 1.0, 1.0 + extra_attempts.POOL_TTL_SECONDS)
     assert not book.spend("s", 1.0 + extra_attempts.POOL_TTL_SECONDS)
 
 
-def test_what_an_instance_earned_is_handed_over_once_and_not_saved_for_long():
+def test_earned_credit_is_withdrawn_once_and_expires_if_not_collected():
     book = extra_attempts.ExtraAttempts(ALLOWED, 0.0)
     book.instances.note(2, 0.0)
     most = extra_attempts.EARNED_TTL_SECONDS * ALLOWED.rate / 2
@@ -363,7 +363,7 @@
     assert book.withdraw_earned(101.0) == pytest.approx(ALLOWED.rate / 2)
 
 
-def test_instances_out_of_sight_count_for_a_while():
+def test_instances_that_are_no_longer_seen_still_count_for_a_while():
     count = instance_count.InstanceCount()
     assert count.value(0.0) == 0
     count.note(195, 1.0)
--- a/tests/test_extra_attempts_model.py
+++ b/tests/test_extra_attempts_model.py
@@ -1,7 +1,7 @@
-"""Every order of messages, losses, restarts and spending, up to a bound, on the real bookkeeping.
+"""Exhaustive model check of `ExtraAttempts`: all event orders up to a bound.
 
-Two instances, both of which may act as keeper. Times are shortened to whole steps, so that all that
-ends does so within the bound.
+Events are messages, message losses, restarts and spending, at two instances that may both act as
+keeper. Credit lifetimes are shortened to whole time steps, so that credit expires within the bound.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bound:
-    """How far the search goes."""
+    """Bounds of the search."""
 
     steps: int
-    """Steps of time."""
+    """Number of time steps."""
 
-    under_way: int
-    """Messages under way at one moment."""
+    in_flight: int
+    """Maximum number of messages in flight at a time."""
 
     restarts: int
 
 
 HOLD, POOL, GRANT = 1, 1, 1
-EACH_STEP = 1.0
-"""Credit that each of the two instances earns in a step."""
+EARNED_PER_STEP = 1.0
+"""Credit that each of the two instances earns per time step."""
 
 
 @dataclasses.dataclass
 class World:
-    """Two instances, and what is under way between them."""
+    """State of two instances and of the messages in flight between them."""
 
     books: list
     now: int = 0
-    under_way: tuple = ()
+    in_flight: tuple = ()
     restarts: int = 0
     spent: tuple = ()
 
     def copy(self):
-        books = [copied(book) for book in self.books]
-        return World(books, self.now, self.under_way, self.restarts, self.spent)
+        books = [copy_of(book) for book in self.books]
+        return World(books, self.now, self.in_flight, self.restarts, self.spent)
 
     def key(self):
         books = []
@@ -52,10 +52,10 @@
             pool = tuple((b.epoch, b.amount, b.spent.get("s", 0.0)) for b in book._pool._buckets)
             grants = tuple(book._grants.get("s", ()))
             books.append((book._earning_since, pool, grants))
-        return tuple(books), self.now, self.under_way, self.restarts, self.spent
+        return tuple(books), self.now, self.in_flight, self.restarts, self.spent
 
 
-def copied(book):
+def copy_of(book):
     other = extra_attempts.ExtraAttempts(book._allowance, book._earning_since)
     other.instances = book.instances
     other._pool._buckets = [
@@ -72,9 +72,9 @@
     monkeypatch.setattr(extra_attempts, "GRANT_TTL_SECONDS", GRANT)
     monkeypatch.setattr(credit, "BUCKET_SECONDS", 1)
     window = 2.0
-    slack = 2 * EACH_STEP * (window + HOLD + POOL + GRANT) / extra_attempts.USABLE_SLACK
+    slack = 2 * EARNED_PER_STEP * (window + HOLD + POOL + GRANT) / extra_attempts.USABLE_SLACK
     allowance = extra_attempts.Allowance(0.0, slack, window)
-    assert allowance.rate == pytest.approx(2 * EACH_STEP)
+    assert allowance.rate == pytest.approx(2 * EARNED_PER_STEP)
     return allowance
 
 
@@ -85,7 +85,7 @@
 
 
 def actions(world, allowed, bound):
-    """List what may happen next, as functions that change a copy of the world."""
+    """List the possible next events, as functions that change a copy of the world."""
     found = []
     if world.now < bound.steps:
         found.append(tick)
@@ -97,9 +97,9 @@
         ]
         if world.restarts < bound.restarts:
             found.append(lambda w, one=one: restart(w, one, allowed))
-    for place in range(len(world.under_way)):
-        found.append(lambda w, place=place: deliver(w, place, bound))
-        found.append(lambda w, place=place: lose(w, place))
+    for index in range(len(world.in_flight)):
+        found.append(lambda w, index=index: deliver(w, index, bound))
+        found.append(lambda w, index=index: lose(w, index))
     return found
 
 
@@ -116,9 +116,9 @@
 
 
 def send(world, bound, message):
-    if len(world.under_way) >= bound.under_way:
+    if len(world.in_flight) >= bound.in_flight:
         return False
-    world.under_way = (*world.under_way, message)
+    world.in_flight = (*world.in_flight, message)
     return True
 
 
@@ -131,19 +131,19 @@
 def restart(world, one, allowed):
     world.books[one] = make(allowed, world.now)
     world.restarts += 1
-    # What was asked for by a process that is gone finds nobody.
-    world.under_way = tuple(message for message in world.under_way if message[1] != one)
+    # Replies to the previous process are dropped.
+    world.in_flight = tuple(message for message in world.in_flight if message[1] != one)
     return True
 
 
-def lose(world, place):
-    world.under_way = world.under_way[:place] + world.under_way[place + 1 :]
+def lose(world, index):
+    world.in_flight = world.in_flight[:index] + world.in_flight[index + 1 :]
     return True
 
 
-def deliver(world, place, bound):
-    kind, asker, asked_at, *more = world.under_way[place]
-    lose(world, place)
+def deliver(world, index, bound):
+    kind, asker, asked_at, *more = world.in_flight[index]
+    lose(world, index)
     other = 1 - asker
     if kind == "pull":
         amount = world.books[other].withdraw_earned(world.now)
@@ -160,22 +160,22 @@
 
 
 def check(world):
-    """Hold what was spent against what was earned at the time."""
+    """Check that no interval spent more credit than was earned in it or shortly before."""
     life = HOLD + POOL + GRANT
     for first in range(len(world.spent)):
         for last in range(first, len(world.spent)):
             begin, end = world.spent[first], world.spent[last]
-            earned = 2 * EACH_STEP * (end - max(0, begin - life))
+            earned = 2 * EARNED_PER_STEP * (end - max(0, begin - life))
             assert last - first + 1 <= earned + 1e-6, world.spent
 
 
 def explore(allowed, bound):
-    """Go through every world that can come about; return how many there are."""
+    """Visit every reachable state and return their number."""
     first = World([make(allowed, 0), make(allowed, 0)])
     seen = {first.key()}
-    left = [first]
-    while left:
-        world = left.pop()
+    pending = [first]
+    while pending:
+        world = pending.pop()
         for action in actions(world, allowed, bound):
             after = world.copy()
             if not action(after):
@@ -185,17 +185,17 @@
                 continue
             seen.add(key)
             check(after)
-            left.append(after)
+            pending.append(after)
     return len(seen)
 
 
-# The last one goes through some 127,000 worlds.
+# The last one visits about 127,000 states.
 @pytest.mark.parametrize("bound", [Bound(2, 1, 1), Bound(3, 1, 0)])
 def test_no_order_of_events_spends_more_than_was_earned(allowed, bound):
     assert explore(allowed, bound) > 20_000
 
 
-def test_the_model_finds_credit_that_is_copied(allowed, monkeypatch):
+def test_the_model_detects_credit_that_is_copied(allowed, monkeypatch):
     monkeypatch.setattr(
         extra_attempts.ExtraAttempts, "withdraw_earned", lambda book, now: float(min(now, HOLD))
     )
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""Who goes next in a shortage: each decision with the load that it answers."""
+"""Fair shares: each scheduling rule, under a load that requires it."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 class Replay:
-    """A load that one instance shares out over some slots, in its order or in that of arrival."""
+    """A load on the slots of one instance, served in fair order or in order of arrival."""
 
     def __init__(self, senders, slots, seconds=60.0, seed=1, is_fair=True):
-        self.asked = collections.Counter()
+        self.requested = collections.Counter()
         self.served = collections.Counter()
-        self._asked_by = collections.Counter()
+        self._requested_by = collections.Counter()
         self._served_by = collections.Counter()
         self._shares = fair_shares.FairShares()
         self._is_fair = is_fair
@@ -48,15 +48,15 @@
         arrivals = _arrivals(senders, seconds, random.Random(seed))
         for now, sender in arrivals:
             while self._busy and len(self._busy) >= slots and self._busy[0] <= now:
-                self._go_on(heapq.heappop(self._busy))
+                self._use_free_slot(heapq.heappop(self._busy))
             while self._busy and self._busy[0] <= now:
                 heapq.heappop(self._busy)
             self._take(now, sender, slots)
 
     def _take(self, now, sender, slots):
-        self.asked[sender.name] += 1
-        self._asked_by[id(sender)] += 1
-        claim = fair_shares.WaitingRequest(
+        self.requested[sender.name] += 1
+        self._requested_by[id(sender)] += 1
+        request = fair_shares.WaitingRequest(
             sender.name,
             sender.priority,
             now,
@@ -64,37 +64,37 @@
             sender.has_quota,
         )
         if len(self._busy) < slots:
-            self._serve(now, claim, sender)
+            self._serve(now, request, sender)
         else:
-            self._waiting.append((claim, sender))
+            self._waiting.append((request, sender))
 
-    def _go_on(self, now):
-        """Use a slot that is free."""
+    def _use_free_slot(self, now):
+        """Assign a free slot to a waiting request."""
         kept = [one for one in self._waiting if one[0].arrived + WAIT_SECONDS > now]
-        for claim, _ in self._waiting:
-            if claim.arrived + WAIT_SECONDS <= now:
-                self._shares.note_refused(claim.workspace, now)
+        for request, _ in self._waiting:
+            if request.arrived + WAIT_SECONDS <= now:
+                self._shares.note_refused(request.workspace, now)
         self._waiting = kept
         if kept:
-            claims = [claim for claim, _ in kept]
-            place = self._shares.order(claims, now)[0] if self._is_fair else 0
-            self._serve(now, *kept.pop(place))
+            requests = [request for request, _ in kept]
+            index = self._shares.order(requests, now)[0] if self._is_fair else 0
+            self._serve(now, *kept.pop(index))
 
-    def _serve(self, now, claim, sender):
-        self._shares.note_served(claim.workspace, now)
+    def _serve(self, now, request, sender):
+        self._shares.note_served(request.workspace, now)
         self.served[sender.name] += 1
         self._served_by[id(sender)] += 1
         heapq.heappush(self._busy, now + sender.seconds)
 
     def share(self, name):
-        return self.served[name] / self.asked[name]
+        return self.served[name] / self.requested[name]
 
     def share_of(self, sender):
-        return self._served_by[id(sender)] / self._asked_by[id(sender)]
+        return self._served_by[id(sender)] / self._requested_by[id(sender)]
 
     @property
     def overall(self):
-        return sum(self.served.values()) / sum(self.asked.values())
+        return sum(self.served.values()) / sum(self.requested.values())
 
 
 def _arrivals(senders, seconds, rng):
@@ -107,8 +107,8 @@
     return sorted(found, key=lambda one: one[0])
 
 
-def eight(hot_rate, has_quota=False):
-    """Make eight workspaces that ask ten times a second each, but for the hot one."""
+def make_senders(hot_rate, has_quota=False):
+    """Make eight workspaces; all but the hot one send ten requests per second each."""
     return [Sender("hot", hot_rate, has_quota=has_quota)] + [
         Sender(f"w{number}", 10.0) for number in range(7)
     ]
@@ -118,52 +118,52 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_with_room_for_half_nobody_is_served_much_less_often_than_all(seed):
-    # Asked 130 a second, room for 65.
-    load = Replay(eight(60.0, has_quota=True), slots=3, seed=seed)
+def test_no_workspace_is_served_much_less_than_average_at_half_capacity(seed):
+    # 130 requests per second, with capacity for 65.
+    load = Replay(make_senders(60.0, has_quota=True), slots=3, seed=seed)
     assert load.overall < 0.55
-    for name in load.asked:
+    for name in load.requested:
         assert load.share(name) >= 0.8 * load.overall
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_small_ones_keep_theirs_beside_a_hot_one_without_a_quota(seed):
-    # Asked 130 a second, of which 60 by the hot one; room for 100.
-    alone = Replay(eight(10.0)[1:], slots=5, seed=seed)
-    beside = Replay(eight(60.0), slots=5, seed=seed)
-    as_they_come = Replay(eight(60.0), slots=5, seed=seed, is_fair=False)
+def test_small_workspaces_keep_their_share_despite_a_hot_one_without_a_quota(seed):
+    # 130 requests per second, 60 of them from the hot workspace, with capacity for 100.
+    alone = Replay(make_senders(10.0)[1:], slots=5, seed=seed)
+    beside = Replay(make_senders(60.0), slots=5, seed=seed)
+    in_arrival_order = Replay(make_senders(60.0), slots=5, seed=seed, is_fair=False)
     for number in range(7):
         name = f"w{number}"
         assert beside.share(name) >= 0.95 * alone.share(name)
-        assert as_they_come.share(name) < 0.9 * alone.share(name)
+        assert in_arrival_order.share(name) < 0.9 * alone.share(name)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_hot_one_without_a_quota_is_not_shut_out(seed):
-    load = Replay(eight(60.0), slots=3, seed=seed)
+def test_a_hot_workspace_without_a_quota_is_not_starved(seed):
+    load = Replay(make_senders(60.0), slots=3, seed=seed)
     assert load.share("hot") >= 0.4 * load.overall
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_urgent_ones_go_before_long_ones_of_the_same_workspace(seed):
+def test_urgent_requests_precede_long_ones_of_the_same_workspace(seed):
     urgent = Sender("w", 30.0, priority=0, aim=0.2)
     long = Sender("w", 60.0, priority=2, aim=2.0)
     load = Replay([urgent, long], slots=3, seed=seed)
-    as_they_come = Replay([urgent, long], slots=3, seed=seed, is_fair=False)
+    in_arrival_order = Replay([urgent, long], slots=3, seed=seed, is_fair=False)
     assert load.share_of(urgent) >= 0.95
-    assert as_they_come.share_of(urgent) < 0.8
+    assert in_arrival_order.share_of(urgent) < 0.8
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_less_urgent_workspace_is_served_beside_one_that_takes_all(seed):
+def test_a_less_urgent_workspace_is_served_despite_one_that_uses_all_capacity(seed):
     urgent = Sender("urgent", 100.0, priority=0)
     patient = Sender("patient", 10.0, priority=3)
     load = Replay([urgent, patient], slots=3, seed=seed)
-    # By priority alone it would get what is left, which is nothing.
+    # By priority alone it would get no capacity at all.
     assert load.share("patient") >= 0.4 * load.overall
 
 
-def test_a_long_request_that_has_waited_goes_before_urgent_ones_that_just_came():
+def test_a_long_request_that_has_waited_precedes_new_urgent_ones():
     shares = fair_shares.FairShares()
     long = fair_shares.WaitingRequest("w", 2, 0.0, 2.0)
     urgent = [fair_shares.WaitingRequest("w", 0, now, now + 0.1) for now in (0.0, 0.1, 0.5)]
@@ -173,16 +173,16 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_what_cannot_be_in_time_takes_no_room_of_what_can(seed):
+def test_requests_that_cannot_finish_in_time_take_no_capacity_from_others(seed):
     doomed = Sender("w", 60.0, priority=0, aim=0.04)
     good = Sender("w", 50.0, priority=1, aim=0.2)
     load = Replay([doomed, good], slots=3, seed=seed)
-    as_they_come = Replay([doomed, good], slots=3, seed=seed, is_fair=False)
+    in_arrival_order = Replay([doomed, good], slots=3, seed=seed, is_fair=False)
     assert load.share_of(good) >= 0.9
-    assert as_they_come.share_of(good) < 0.8
+    assert in_arrival_order.share_of(good) < 0.8
 
 
-def test_who_was_served_long_ago_is_treated_like_the_others():
+def test_past_use_decays():
     shares = fair_shares.FairShares()
     for _ in range(100):
         shares.note_served("hot", 0.0)
@@ -197,7 +197,7 @@
 
 
 class TestExtraAttempts:
-    """Extra attempts at a service that are short."""
+    """Extra attempts at a service that has few left."""
 
     def spent(self, *counts):
         shares = fair_shares.FairShares()
@@ -207,18 +207,18 @@
                 shares.note_spent(f"w{number}", "s", 0.0)
         return [shares.is_overspending(f"w{number}", "s", 0.0) for number in range(len(counts))]
 
-    def test_one_that_spends_most_leaves_the_last_to_others(self):
+    def test_a_workspace_that_spends_most_is_overspending(self):
         assert self.spent(20, 2, 2, 0) == [True, False, False, False]
         assert self.spent(20, 0) == [True, False]
 
-    def test_one_that_is_alone_or_spends_its_part_leaves_none(self):
+    def test_a_workspace_that_is_alone_or_spends_its_part_is_not_overspending(self):
         assert self.spent(20) == [False]
         assert self.spent(6, 5, 6, 5) == [False] * 4
 
-    def test_a_few_tell_nothing(self):
+    def test_a_few_attempts_are_not_overspending(self):
         assert self.spent(3, 0, 0) == [False] * 3
 
-    def test_each_service_counts_for_itself(self):
+    def test_attempts_are_counted_per_service(self):
         shares = fair_shares.FairShares()
         shares.note_served("calm", 0.0)
         shares.note_served("hot", 0.0)
@@ -228,7 +228,7 @@
 
 
 def _spend_all(is_fair):
-    """Let a hot workspace take all extra attempts that it gets, then a calm one."""
+    """Let a hot workspace spend as many extra attempts as it may, then a calm one."""
     line = waiting_line.WaitingLine(task.Clock(), 0.01)
     line.is_fair = is_fair
     extra = extra_attempts.ExtraAttempts(extra_attempts.Allowance(), 0.0)
@@ -243,7 +243,7 @@
     return [sum(spend(workspace=name) for _ in range(100)) for name in ("hot", "calm")]
 
 
-def test_the_last_extra_attempts_are_left_to_the_calm_one():
+def test_the_last_extra_attempts_are_left_to_the_calm_workspace():
     assert _spend_all(is_fair=False) == [38, 0]
     hot, calm = _spend_all(is_fair=True)
     assert hot + calm == 38
@@ -251,7 +251,7 @@
 
 
 class TestWaitingLine:
-    """Those that wait, on a clock of the test's own."""
+    """The waiting line, on a simulated clock."""
 
     def build(self):
         clock = task.Clock()
@@ -259,18 +259,18 @@
         line.is_fair = True
         tried = []
 
-        def claim(name, priority=1):
+        def request(name, priority=1):
             return fair_shares.WaitingRequest(name, priority, clock.seconds(), 100.0)
 
         def wait(name, priority=1, service="s"):
             def look():
                 tried.append(name)
 
-            return line.wait(claim(name, priority), (service,), look)
+            return line.wait(request(name, priority), (service,), look)
 
-        return clock, line, tried, claim, wait
+        return clock, line, tried, request, wait
 
-    def test_those_that_wait_are_tried_in_order_and_once(self):
+    def test_waiting_requests_are_tried_once_in_order(self):
         clock, line, tried, _, wait = self.build()
         line.note_served("hot")
         wait("hot")
@@ -280,22 +280,22 @@
         assert tried == ["urgent", "calm", "hot"]
         assert line.length == 0
 
-    def test_a_newcomer_passes_only_those_that_it_goes_before(self):
-        _, line, _, claim, wait = self.build()
+    def test_a_new_request_overtakes_only_those_that_it_precedes(self):
+        _, line, _, request, wait = self.build()
         wait("calm")
-        assert line.is_behind(claim("calm"), ("s",)) is False
-        assert line.is_behind(claim("late", 2), ("s", "t"))
-        assert not line.is_behind(claim("late", 2), ("t",))
-        assert not line.is_behind(claim("urgent", 0), ("s",))
+        assert line.is_behind(request("calm"), ("s",)) is False
+        assert line.is_behind(request("late", 2), ("s", "t"))
+        assert not line.is_behind(request("late", 2), ("t",))
+        assert not line.is_behind(request("urgent", 0), ("s",))
 
-    def test_one_that_leaves_is_not_tried_also_while_others_are(self):
-        clock, line, tried, claim, wait = self.build()
+    def test_a_request_that_leaves_while_others_are_tried_is_not_tried(self):
+        clock, line, tried, request, wait = self.build()
         leave = wait("late", priority=2)
-        line.wait(claim("first", 0), ("s",), leave)
+        line.wait(request("first", 0), ("s",), leave)
         clock.advance(1.0)
         assert tried == []
 
-    def test_callers_that_are_refused_come_back_spread(self):
+    def test_retry_times_of_refused_callers_are_jittered(self):
         draws = iter((0.0, 0.5, 1.0))
         line = waiting_line.WaitingLine(task.Clock(), 0.01, lambda: next(draws))
         assert line.retry_after(0.2) is None
@@ -303,10 +303,10 @@
         assert [line.retry_after(0.2) for _ in range(3)] == pytest.approx([0.1, 0.2, 0.3])
 
 
-def _play_reads(is_fair):
-    """Let a hot workspace send 300 reads a second through one instance, seven others ten each.
+def _replay_reads(is_fair):
+    """Send 300 reads per second of a hot workspace and ten of seven others through one instance.
 
-    Their three targets have room for some 200 of the 370.
+    The three targets have capacity for about 200 of the 370.
     """
     names = ["hot"] + [f"w{number}" for number in range(7)]
     world = test_forwarding.build()
@@ -330,16 +330,16 @@
     }
 
 
-def test_a_hot_workspace_pushes_nobody_out_at_an_instance():
-    shares = _play_reads(is_fair=True)
+def test_a_hot_workspace_starves_no_other_at_an_instance():
+    shares = _replay_reads(is_fair=True)
     hot = shares.pop("hot")
     assert min(shares.values()) >= 0.95
     assert hot >= 0.3
-    as_they_come = _play_reads(is_fair=False)
-    assert min(as_they_come.values()) < 0.8
+    in_arrival_order = _replay_reads(is_fair=False)
+    assert min(in_arrival_order.values()) < 0.8
 
 
-def test_without_workspaces_nothing_waits_in_an_order():
+def test_requests_are_not_queued_in_fair_order_without_workspaces():
     world = test_forwarding.build()
     replies = [world.ask("akl-1", "/read/x") for _ in range(60)]
     line = world.nodes["akl-1"]._front._shared.line
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""The tokens of a quota: what a hall has of it, and that no window gets more than the bound."""
+"""Quota buckets: each hall's part, and that no window exceeds the bound."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return quota.part_of(workspaces.Quota(rate, burst), bound, halls)
 
 
-def test_a_small_limit_leaves_each_hall_more_than_a_token():
+def test_each_hall_gets_more_than_a_token_of_a_small_quota():
     found = part(1.0, 1.0)
     assert found.rate == pytest.approx(1 / 6)
     assert found.depth == pytest.approx((26.6 - 5 - quota.MAX_TRANSIT_SECONDS) / 3 / 6)
@@ -39,7 +39,7 @@
     assert 0 <= found.rate <= rate
 
 
-def test_a_burst_is_saved_for_beside_later_lives():
+def test_a_first_life_can_hold_a_burst_and_later_lives_hold_less():
     found = part(2.0, 20.0)
     assert found.depth * found.holders >= 20.0
     assert found.restart_depth * found.holders >= quota.MIN_TOTAL_DEPTH
@@ -53,7 +53,7 @@
     assert later.tokens(2000.0) == pytest.approx(found.restart_depth)
 
 
-def test_without_any_excess_most_of_the_rate_is_left():
+def test_most_of_the_rate_remains_without_any_excess():
     assert part(10.0, 10.0, TIGHT, 1).rate > 0.9 * 10
     assert part(1.0, 1.0, TIGHT, 1).rate > 0.5
     assert part(1.0, 1.0, TIGHT, 1).depth == pytest.approx(1.0)
@@ -75,7 +75,7 @@
     assert bucket.tokens(100.0) == 3.0
 
 
-def test_a_part_of_less_than_a_token_is_filled_from_elsewhere():
+def test_a_part_below_one_token_is_filled_by_transfers():
     bucket = quota.Bucket(quota.Part(0.1, 0.2), 0.0)
     assert math.isinf(bucket.seconds_until_next(0.0))
     assert not bucket.take(0.0)
@@ -85,7 +85,7 @@
     assert bucket.tokens(0.0) == pytest.approx(0.0)
 
 
-def test_moved_tokens_end_where_they_have_no_room():
+def test_transferred_tokens_beyond_the_capacity_expire():
     bucket = quota.Bucket(quota.Part(0.0, 1.0), 0.0)
     bucket.transfer_in(2.0, 0.0, 0.1)
     assert bucket.tokens(0.1) == 3.0
@@ -95,7 +95,7 @@
     assert bucket.tokens(1.0 + quota.TRANSFER_TTL_SECONDS) == 0.0
 
 
-def test_what_is_given_is_gone_here():
+def test_transferred_tokens_are_removed_from_the_sender():
     bucket = quota.Bucket(quota.Part(0.0, 4.0), 0.0)
     assert bucket.transfer_out(0.0, 10.0) == 2.0
     assert bucket.transfer_out(0.0, 0.5) == 0.5
@@ -104,7 +104,7 @@
     assert bucket.transfer_out(0.0, 1.0, 1.0) == 0.0
 
 
-def test_a_hall_without_a_part_is_given_whole_tokens_only():
+def test_only_whole_tokens_are_transferred_to_a_hall_without_a_part():
     bucket = quota.Bucket(quota.Part(0.0, 1.5), 0.0)
     bucket.transfer_in(0.8, 0.0, 0.0)
     assert bucket.tokens(0.0) == pytest.approx(2.3)
@@ -113,7 +113,7 @@
     assert bucket.tokens(0.0) == pytest.approx(1.3)
 
 
-def test_a_token_given_back_never_exceeds_the_depth():
+def test_a_returned_token_never_exceeds_the_capacity():
     bucket = quota.Bucket(quota.Part(0.0, 2.0), 0.0)
     bucket.put_back(0.0, 0.0)
     assert bucket.tokens(0.0) == 2.0
@@ -122,22 +122,22 @@
     assert bucket.tokens(0.0) == 2.0
 
 
-def test_requests_that_fail_and_come_back_save_no_tokens_outside_the_bucket():
+def test_failing_requests_that_retry_accumulate_no_tokens_outside_the_bucket():
     bucket = quota.Bucket(quota.Part(10.0, 2.0), 0.0)
-    under_way = []
+    in_flight = []
     for step in range(300):
         now = step * 0.1
-        for at in under_way[:]:
+        for at in in_flight[:]:
             if now - at >= 0.1:
-                under_way.remove(at)
+                in_flight.remove(at)
                 bucket.put_back(at, now)
-                under_way += [now] * bucket.take(now)
+                in_flight += [now] * bucket.take(now)
         while bucket.take(now):
-            under_way.append(now)
-    assert len(under_way) <= 2 + 10.0 * 0.1
+            in_flight.append(now)
+    assert len(in_flight) <= 2 + 10.0 * 0.1
 
 
-def test_a_token_is_given_back_once_and_not_late():
+def test_a_token_is_returned_once_and_not_too_late():
     bucket = quota.Bucket(quota.Part(0.0, 2.0), 0.0)
     bucket.take(0.0)
     assert bucket.put_back(0.0, 0.1)
@@ -147,7 +147,7 @@
     assert bucket.tokens(2.0) == 1.0
 
 
-def test_a_lower_limit_cuts_the_tokens_and_a_higher_one_begins_no_new_life():
+def test_a_lower_limit_reduces_the_tokens_and_a_higher_one_adds_none():
     bucket = quota.Bucket(quota.Part(1.0, 6.0), 0.0)
     bucket.set_part(quota.Part(0.5, 2.0), 0.0)
     assert bucket.tokens(0.0) == 2.0
@@ -156,7 +156,7 @@
     assert bucket.tokens(1.0) == 5.0
 
 
-def test_a_clock_that_stands_or_is_asked_late_earns_nothing_twice():
+def test_no_time_is_credited_twice_when_the_clock_goes_back():
     bucket = quota.Bucket(quota.Part(1.0, 5.0), 0.0)
     while bucket.take(10.0):
         pass
@@ -175,63 +175,63 @@
 
 HALLS = 3
 LIMIT = workspaces.Quota(4.0, 4.0)
-_places = st.integers(0, HALLS - 1)
+_halls = st.integers(0, HALLS - 1)
 _seconds = st.floats(0.0, 0.6)
 _event = st.one_of(
-    st.tuples(st.just("take"), _places, st.integers(1, 8)),
-    st.tuples(st.just("pull"), _places, _places, st.floats(0, 8), _seconds),
-    st.tuples(st.just("put_back"), _places, _seconds),
-    st.tuples(st.just("restart"), _places),
+    st.tuples(st.just("take"), _halls, st.integers(1, 8)),
+    st.tuples(st.just("pull"), _halls, _halls, st.floats(0, 8), _seconds),
+    st.tuples(st.just("put_back"), _halls, _seconds),
+    st.tuples(st.just("restart"), _halls),
     st.tuples(st.just("set_rate"), st.sampled_from((1.0, 4.0))),
     st.tuples(st.just("wait"), st.floats(0.0, 3.0)),
 )
 
 
 class Halls:
-    """Buckets of some halls, with messages that are late or lost, played by a list of events."""
+    """Buckets of several halls, driven by a list of events with late and lost messages."""
 
     def __init__(self, bound):
         self.bound, self.now = bound, 0.0
         self.buckets = [self.make(LIMIT) for _ in range(HALLS)]
-        self.births = [[] for _ in range(HALLS)]
+        self.life_starts = [[] for _ in range(HALLS)]
         self.spent = []
         self.late = []
 
     def make(self, limit, is_only_life=True):
         return quota.Bucket(quota.part_of(limit, self.bound, HALLS), self.now, is_only_life)
 
-    def play(self, events):
+    def run(self, events):
         for kind, *values in events:
             getattr(self, kind)(*values)
         self.wait(1.0)
         return self.worst_excess()
 
-    def take(self, place, times):
+    def take(self, hall, times):
         for _ in range(times):
-            if self.buckets[place].take(self.now):
-                self.spent.append((self.now, self.buckets[place]))
-
-    def pull(self, place, other, amount, delay):
-        """Move tokens; a message may come late, and to a holder that is gone by then."""
-        if place != other:
-            asker, asked_at = self.buckets[place], self.now
-            given = self.buckets[other].transfer_out(self.now, amount, 1.0)
+            if self.buckets[hall].take(self.now):
+                self.spent.append((self.now, self.buckets[hall]))
+
+    def pull(self, hall, sender, amount, delay):
+        """Transfer tokens; the message may arrive late, or after its receiver has restarted."""
+        if hall != sender:
+            asker, asked_at = self.buckets[hall], self.now
+            given = self.buckets[sender].transfer_out(self.now, amount, 1.0)
             self.later(delay, lambda: asker.transfer_in(given, asked_at, self.now))
 
-    def put_back(self, place, delay):
-        """Give the latest token back that was spent at a hall, perhaps too late."""
-        mine = [row for row in self.spent if row[1] is self.buckets[place]]
+    def put_back(self, hall, delay):
+        """Return the last token spent at a hall, possibly too late."""
+        mine = [row for row in self.spent if row[1] is self.buckets[hall]]
         if mine:
             at, bucket = mine[-1]
             self.spent.remove(mine[-1])
             self.later(delay, lambda: bucket.put_back(at, self.now))
 
-    def restart(self, place):
-        """Begin a new life, where the window has not seen too many."""
-        lately = [at for at in self.births[place] if at > self.now - self.bound.window]
-        if len(lately) < quota.MAX_LIVES - 1:
-            self.births[place].append(self.now)
-            self.buckets[place] = self.make(LIMIT, is_only_life=False)
+    def restart(self, hall):
+        """Start a new life, unless the window already contains the maximum number of lives."""
+        recent = [at for at in self.life_starts[hall] if at > self.now - self.bound.window]
+        if len(recent) < quota.MAX_LIVES - 1:
+            self.life_starts[hall].append(self.now)
+            self.buckets[hall] = self.make(LIMIT, is_only_life=False)
 
     def set_rate(self, rate):
         found = quota.part_of(workspaces.Quota(rate, rate), self.bound, HALLS)
@@ -250,7 +250,7 @@
         self.late.sort(key=lambda item: item[:2])
 
     def worst_excess(self):
-        """Tell by how much the fullest window is over the bound."""
+        """Return by how much the fullest window exceeds the bound."""
         times = sorted(at for at, _ in self.spent)
         ends = [bisect.bisect_left(times, at + self.bound.window) for at in times]
         fullest = max((end - first for first, end in enumerate(ends)), default=0)
@@ -259,42 +259,46 @@
 
 @hypothesis.given(st.lists(_event, max_size=60), st.sampled_from((BOUND, TIGHT)))
 @hypothesis.settings(max_examples=400)
-def test_no_order_of_events_passes_the_bound_in_any_window(events, bound):
-    assert Halls(bound).play(events) <= 1e-6
+def test_no_order_of_events_exceeds_the_bound_in_any_window(events, bound):
+    assert Halls(bound).run(events) <= 1e-6
 
 
-SPEND = [("take", place, 40) for place in range(HALLS)]
-ALL_LIVES = [*SPEND, *[("restart", place) for place in range(HALLS)], *SPEND] + [
-    *[("restart", place) for place in range(HALLS)],
-    *SPEND,
+SPEND_ALL = [("take", hall, 40) for hall in range(HALLS)]
+RESTARTS = [*SPEND_ALL, *[("restart", hall) for hall in range(HALLS)], *SPEND_ALL] + [
+    *[("restart", hall) for hall in range(HALLS)],
+    *SPEND_ALL,
 ]
-PULLS = [
+TRANSFERS = [
     event for _ in range(20) for event in (("pull", 0, 1, 8.0, 0.0), ("take", 0, 9), ("wait", 0.1))
 ]
-HOARD = [("pull", 0, 1, 8.0, 0.5), ("wait", 2.0)] * 20 + ALL_LIVES
+SAVED_TRANSFERS = [("pull", 0, 1, 8.0, 0.5), ("wait", 2.0)] * 20 + RESTARTS
 
 
-def copy_what_is_given(monkeypatch):
+def copy_transferred_tokens(monkeypatch):
     monkeypatch.setattr(
         quota.Bucket, "transfer_out", lambda bucket, now, wanted, max_fraction=0.5: wanted
     )
 
 
-def keep_what_was_moved(monkeypatch):
+def keep_transferred_tokens_forever(monkeypatch):
     monkeypatch.setattr(quota, "TRANSFER_TTL_SECONDS", 1e9)
 
 
-def fill_for_one_life(monkeypatch):
+def size_for_a_single_life(monkeypatch):
     whole = quota.part_of(LIMIT, BOUND, HALLS)
     deep = quota.Part(whole.rate, whole.depth * quota.MAX_LIVES)
     monkeypatch.setattr(quota, "part_of", lambda limit, bound, halls: deep)
 
 
 @pytest.mark.parametrize(
-    ("mistake", "events"),
-    [(copy_what_is_given, PULLS), (keep_what_was_moved, HOARD), (fill_for_one_life, ALL_LIVES)],
+    ("mutate", "events"),
+    [
+        (copy_transferred_tokens, TRANSFERS),
+        (keep_transferred_tokens_forever, SAVED_TRANSFERS),
+        (size_for_a_single_life, RESTARTS),
+    ],
 )
-def test_a_way_that_is_too_generous_is_found(monkeypatch, mistake, events):
-    assert Halls(BOUND).play(events) <= 0
-    mistake(monkeypatch)
-    assert Halls(BOUND).play(events) > 0
+def test_the_check_detects_an_implementation_that_exceeds_the_bound(monkeypatch, mutate, events):
+    assert Halls(BOUND).run(events) <= 0
+    mutate(monkeypatch)
+    assert Halls(BOUND).run(events) > 0
--- a/tests/test_quota_model.py
+++ b/tests/test_quota_model.py
@@ -1,7 +1,8 @@
-"""Every order of requests, messages, losses, returns and restarts, up to a bound, on real buckets.
+"""Exhaustive model check of quota buckets: all event orders up to a bound.
 
-Two halls with a holder each. Times are shortened to whole steps, so that all that ends does so
-within the bound.
+Events are requests, messages, message losses, returned tokens and restarts, in two halls with one
+holder each. Token lifetimes are shortened to whole time steps, so that tokens expire within the
+bound.
 """
 
 from __future__ import annotations
@@ -13,49 +14,49 @@
 from lineworks.decisions import quota
 
 PART = quota.Part(0.5, 1.0, 2)
-"""What each of the two halls earns in a step, and saves at most."""
+"""Tokens that each of the two halls earns per time step, and the capacity of its bucket."""
 
 MOVE, RETURN, WINDOW = 1, 1, 2
 
 
 @dataclasses.dataclass(frozen=True)
 class Bound:
-    """How far the search goes."""
+    """Bounds of the search."""
 
     steps: int
-    """Steps of time."""
+    """Number of time steps."""
 
-    under_way: int
-    """Messages under way at one moment."""
+    in_flight: int
+    """Maximum number of messages in flight at a time."""
 
     restarts: int
-    """Restarts of each holder."""
+    """Maximum number of restarts of each holder."""
 
 
 @dataclasses.dataclass
 class World:
-    """Two holders, and what is under way between them and their callers."""
+    """State of two holders and of the messages in flight to and from them."""
 
     buckets: list
     lives: tuple = (0, 0)
     now: int = 0
-    under_way: tuple = ()
+    in_flight: tuple = ()
     spent: tuple = ()
 
     def copy(self):
-        buckets = [copied(bucket) for bucket in self.buckets]
-        return World(buckets, self.lives, self.now, self.under_way, self.spent)
+        buckets = [copy_of(bucket) for bucket in self.buckets]
+        return World(buckets, self.lives, self.now, self.in_flight, self.spent)
 
     def key(self):
         buckets = tuple(
             (one._tokens, one._updated_at, tuple(one._overflow), tuple(one._returnable))
             for one in self.buckets
         )
-        under_way, spent = tuple(sorted(self.under_way)), tuple(sorted(self.spent))
-        return buckets, self.lives, self.now, under_way, spent
+        in_flight, spent = tuple(sorted(self.in_flight)), tuple(sorted(self.spent))
+        return buckets, self.lives, self.now, in_flight, spent
 
 
-def copied(bucket):
+def copy_of(bucket):
     other = quota.Bucket(bucket.part, bucket._updated_at)
     other._tokens, other._overflow = bucket._tokens, list(bucket._overflow)
     other._returnable = list(bucket._returnable)
@@ -63,13 +64,13 @@
 
 
 @pytest.fixture(autouse=True)
-def _short_lives(monkeypatch):
+def _short_lifetimes(monkeypatch):
     monkeypatch.setattr(quota, "TRANSFER_TTL_SECONDS", MOVE)
     monkeypatch.setattr(quota, "RETURN_WINDOW_SECONDS", RETURN)
 
 
 def actions(world, bound):
-    """List what may happen next, as functions that change a copy of the world."""
+    """List the possible next events, as functions that change a copy of the world."""
     found = []
     if world.now < bound.steps:
         found.append(tick)
@@ -78,12 +79,14 @@
         found.append(lambda w, one=one: send(w, bound, ("pull", one, w.lives[one], w.now)))
         if world.lives[one] < bound.restarts:
             found.append(lambda w, one=one: restart(w, one))
-    for place, (at, one, life) in enumerate(world.spent):
+    for index, (at, one, life) in enumerate(world.spent):
         if world.now - at <= RETURN:
-            found.append(lambda w, p=place, m=("return", one, life, at): give_back(w, bound, p, m))
-    for place in range(len(world.under_way)):
-        found.append(lambda w, place=place: deliver(w, place, bound))
-        found.append(lambda w, place=place: lose(w, place))
+            found.append(
+                lambda w, p=index, m=("return", one, life, at): return_token(w, bound, p, m)
+            )
+    for index in range(len(world.in_flight)):
+        found.append(lambda w, index=index: deliver(w, index, bound))
+        found.append(lambda w, index=index: lose(w, index))
     return found
 
 
@@ -99,15 +102,15 @@
     return True
 
 
-def give_back(world, bound, place, message):
-    world.spent = world.spent[:place] + world.spent[place + 1 :]
+def return_token(world, bound, index, message):
+    world.spent = world.spent[:index] + world.spent[index + 1 :]
     return send(world, bound, message)
 
 
 def send(world, bound, message):
-    if len(world.under_way) >= bound.under_way:
+    if len(world.in_flight) >= bound.in_flight:
         return False
-    world.under_way = (*world.under_way, message)
+    world.in_flight = (*world.in_flight, message)
     return True
 
 
@@ -119,19 +122,19 @@
     return True
 
 
-def lose(world, place):
-    world.under_way = world.under_way[:place] + world.under_way[place + 1 :]
+def lose(world, index):
+    world.in_flight = world.in_flight[:index] + world.in_flight[index + 1 :]
     return True
 
 
-def deliver(world, place, bound):
-    kind, one, life, at, *more = world.under_way[place]
-    lose(world, place)
+def deliver(world, index, bound):
+    kind, one, life, at, *more = world.in_flight[index]
+    lose(world, index)
     if kind == "pull":
         amount = world.buckets[1 - one].transfer_out(world.now, 1.0, 1.0)
         return send(world, bound, ("share", one, life, at, amount))
     if life != world.lives[one]:
-        # What was asked for by a process that is gone finds nobody.
+        # Replies to the previous process are dropped.
         return True
     if kind == "share":
         world.buckets[one].transfer_in(more[0], at, world.now)
@@ -141,7 +144,7 @@
 
 
 def check(world, bound):
-    """Hold what was spent in each window against what all lives had and earned."""
+    """Check that no window spent more tokens than all lives started with and earned."""
     times = sorted(at for at, _, _ in world.spent)
     full = 2 * (1 + bound.restarts) * PART.depth
     for first, begin in enumerate(times):
@@ -153,11 +156,11 @@
 
 
 def explore(bound):
-    """Go through every world that can come about; return how many there are."""
+    """Visit every reachable state and return their number."""
     first = World([quota.Bucket(PART, 0) for _ in (0, 1)])
-    seen, left = {first.key()}, [first]
-    while left:
-        world = left.pop()
+    seen, pending = {first.key()}, [first]
+    while pending:
+        world = pending.pop()
         for action in actions(world, bound):
             after = world.copy()
             if not action(after):
@@ -166,16 +169,16 @@
             if key not in seen:
                 seen.add(key)
                 check(after, bound)
-                left.append(after)
+                pending.append(after)
     return len(seen)
 
 
 @pytest.mark.parametrize("bound", [Bound(3, 1, 0), Bound(1, 1, 1)])
-def test_no_order_of_events_spends_more_than_all_lives_had_and_earned(bound):
+def test_no_order_of_events_spends_more_than_all_lives_started_with_and_earned(bound):
     assert explore(bound) > 5_000
 
 
-def test_the_model_finds_tokens_that_are_saved_outside_the_bucket(monkeypatch):
+def test_the_model_detects_tokens_that_accumulate_outside_the_bucket(monkeypatch):
     monkeypatch.setattr(quota.Bucket, "_trim_returnable", lambda bucket: None)
     with pytest.raises(AssertionError):
         explore(Bound(3, 1, 0))
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces as configurations hold them: read or refused as a whole, and no key is ever shown."""
+"""Decoding workspaces: a configuration is accepted or refused as a whole, and no key is shown."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     return configuration.decode(json.dumps(document).encode())
 
 
-def test_a_workspace_is_read():
+def test_a_workspace_is_decoded():
     found = decode([NORTH]).workspaces
     expected = workspaces.Workspace(
         "north", 2, workspaces.Quota(40.0, 12.5), homes=frozenset(["akl"])
@@ -50,12 +50,12 @@
 
 
 @pytest.mark.parametrize("rate", [{}, {"RatePerS": 0}, {"RatePerS": 0, "Burst": 5}, {"Burst": 5}])
-def test_a_rate_of_nothing_is_no_limit(rate):
+def test_a_missing_or_zero_rate_means_no_limit(rate):
     (found,) = decode([{"Name": "north", "ApiKeys": ["k"], **rate}]).workspaces.all
     assert found == workspaces.Workspace("north")
 
 
-def test_a_workspace_may_have_lost_all_its_keys():
+def test_a_workspace_may_have_no_keys():
     found = decode([{"Name": "north", "ApiKeys": []}, {"Name": "south"}]).workspaces
     assert found.requires_keys
     assert len(found.all) == 2
@@ -69,12 +69,12 @@
 @pytest.mark.parametrize(
     ("value", "expected"), [({}, False), ({"Public": True}, True), ({"Public": False}, False)]
 )
-def test_public_routes_are_told(value, expected):
+def test_public_routes_are_decoded(value, expected):
     (found,) = decode([], {**ROUTE, **value}).routes
     assert found.is_public is expected
 
 
-def test_a_route_is_public_by_true_alone():
+def test_a_route_is_public_only_if_the_value_is_true():
     with pytest.raises(configuration.ConfigurationError, match=r"Routing\.0\.Public"):
         decode([], {**ROUTE, "Public": "yes"})
 
@@ -112,7 +112,7 @@
         ({"AllowedRegions": [""]}, r"Tenants\.1\.AllowedRegions"),
     ],
 )
-def test_a_wrong_workspace_refuses_the_configuration_and_names_where(changes, path):
+def test_an_invalid_workspace_is_refused_with_its_path_and_without_its_keys(changes, path):
     with pytest.raises(configuration.ConfigurationError, match=path) as refused:
         decode([SOUTH, {**NORTH, **changes}])
     shown = "".join(traceback.format_exception(refused.value))
@@ -121,13 +121,13 @@
 
 
 @pytest.mark.parametrize("tenants", [{"north": NORTH}, SECRET, [SECRET], [[NORTH]], 5])
-def test_workspaces_of_another_form_are_refused_without_being_shown(tenants):
+def test_malformed_workspaces_are_refused_without_being_shown(tenants):
     with pytest.raises(configuration.ConfigurationError, match="Tenants") as refused:
         decode(tenants)
     assert SECRET not in str(refused.value)
 
 
-def test_a_wrong_workspace_leaves_the_configuration_in_force():
+def test_an_invalid_workspace_leaves_the_previous_configuration_in_force():
     world = test_forwarding.build()
     world.workspaces = [documents.workspace("north", "a", "a")]
     world.configure([test_forwarding.READ])
@@ -136,13 +136,13 @@
     assert test_foreign_entries.statuses(world) == {200}
 
 
-def test_no_key_stands_in_what_a_crash_shows():
+def test_no_key_appears_in_the_attributes_of_decoded_tables():
     table = decode([NORTH])
     shown = f"{vars(table)} {vars(table.workspaces)} {table.workspaces.all}"
     assert SECRET not in shown
 
 
-def test_a_rotated_key_is_found_with_its_old_one():
+def test_old_and_new_keys_are_both_found_during_rotation():
     rotated = decode([{**NORTH, "ApiKeys": ["new", SECRET]}]).workspaces
     assert rotated.find(b"new") is rotated.find(SECRET.encode())
 
@@ -158,7 +158,7 @@
 
 
 @hypothesis.given(PLAIN | TENANTS)
-def test_any_workspaces_are_read_or_refused(tenants):
+def test_arbitrary_workspaces_are_decoded_or_refused(tenants):
     try:
         found = decode(tenants).workspaces
     except configuration.ConfigurationError:
@@ -176,7 +176,7 @@
 
 
 @hypothesis.given(strategies.binary(max_size=30))
-def test_any_credentials_are_read_as_a_key_or_none(value):
+def test_arbitrary_credentials_yield_a_key_or_none(value):
     key = headers.read_key(value)
     assert key is None or (key and key == key.strip() and key in value)
     assert decode([NORTH]).workspaces.find(key or b"") is None
@@ -188,7 +188,7 @@
     ),
     strategies.sampled_from([b"Bearer ", b"bearer ", b"  BEARER   "]),
 )
-def test_a_key_that_a_configuration_may_hold_is_found_in_a_header(key, scheme):
+def test_every_valid_key_is_found_in_a_header(key, scheme):
     found = decode([{"Name": "north", "ApiKeys": [key]}]).workspaces
     assert found.find(headers.read_key(scheme + key.encode() + b" ")).name == "north"
 
@@ -196,5 +196,5 @@
 @pytest.mark.parametrize(
     "value", [None, b"", b"Bearer", b"Bearer ", b"Basic abc", b"abc", b"Bearerabc", b"\xff"]
 )
-def test_credentials_of_another_form_hold_no_key(value):
+def test_malformed_credentials_yield_no_key(value):
     assert headers.read_key(value) is None
