--- a/src/lineworks/decisions/admission.py
+++ b/src/lineworks/decisions/admission.py
@@ -1,8 +1,8 @@
 """Admission control: which queries start now, which are queued and which are refused.
 
 Each front has one `Admission` per group. Queued queries are served by weighted fair queuing over
-their classes: each class has a virtual finish time, which advances by the inverse of its weight,
-and the class with the smallest virtual finish time is served next.
+their classes: each class has a virtual finish time, which each served query advances by the inverse
+of the class's weight, and the class with the smallest virtual finish time is served next.
 """
 
 from __future__ import annotations
--- a/src/lineworks/decisions/extra_attempts.py
+++ b/src/lineworks/decisions/extra_attempts.py
@@ -7,7 +7,7 @@
 as credit. Every instance earns an equal part of it over time, and the credit of a data hall is
 collected by one of its instances, the keeper, which grants it where it is needed. Divided evenly
 among 195 instances, the fixed number left each of them one attempt per shard and window: with 15 of
-100 targets slow, half of all searches were late. Pooled by hall, each hall has 32 attempts.
+100 targets slow, half of all searches were late. Pooled by hall, it is 32 per shard and window.
 
 This is safe without agreement on which instance is the keeper, for two reasons:
 
--- a/src/lineworks/decisions/limits.py
+++ b/src/lineworks/decisions/limits.py
@@ -37,7 +37,7 @@
         self._set(max(_MIN_LIMIT, self._limit * _DECREASE_FACTOR))
 
     def restart_ramp(self) -> None:
-        """Reset the limit to its minimum, because the target restarted or reloads its index."""
+        """Restart from one attempt, because the target restarted or reloads its index."""
         self._set(_RAMP_START)
 
     def _set(self, limit: float) -> None:
--- a/src/lineworks/decisions/quota.py
+++ b/src/lineworks/decisions/quota.py
@@ -153,13 +153,15 @@
     """
     allowed = bound.max_requests(quota)
     seconds = bound.window + MAX_TRANSIT_SECONDS
-    room = allowed - quota.rate * seconds
-    least = min(MIN_TOTAL_DEPTH, allowed / (2 * MAX_LIVES))
+    available = allowed - quota.rate * seconds
+    min_depth = min(MIN_TOTAL_DEPTH, allowed / (2 * MAX_LIVES))
     # Capacity of each life if all lives have the same.
-    equal_depth = max(room / MAX_LIVES, least)
+    equal_depth = max(available / MAX_LIVES, min_depth)
     rate = min(quota.rate, (allowed - MAX_LIVES * equal_depth) / seconds)
-    depth = max(equal_depth, min(BURST_HEADROOM * quota.burst, room - (MAX_LIVES - 1) * least))
-    restart_depth = min(equal_depth, max(least, (room - depth) / (MAX_LIVES - 1)))
+    depth = max(
+        equal_depth, min(BURST_HEADROOM * quota.burst, available - (MAX_LIVES - 1) * min_depth)
+    )
+    restart_depth = min(equal_depth, max(min_depth, (available - depth) / (MAX_LIVES - 1)))
     holders = max(1, min(halls, int(restart_depth / MIN_PART_DEPTH)))
     return Part(rate / holders, depth / holders, holders, restart_depth / holders)
 
