--- a/src/lineworks/decisions/access.py
+++ b/src/lineworks/decisions/access.py
@@ -15,12 +15,12 @@
 A change takes effect everywhere within a few seconds, and the configuration is usually confirmed
 well before it reaches this age."""
 
-_UNKNOWN_KEY = verdict.not_run(verdict.Reason.UNKNOWN_KEY, "unknown API key")
+_UNKNOWN_KEY = verdict.not_run(verdict.Reason.UNKNOWN_KEY, "no known key")
 _KEY_MAY_BE_ADDED = verdict.not_run(
-    verdict.Reason.KEY_UNSURE, "unknown API key, but other instances may have a newer configuration"
+    verdict.Reason.KEY_UNSURE, "no known key, and the configuration may be newer elsewhere"
 )
 _KEY_MAY_BE_REVOKED = verdict.not_run(
-    verdict.Reason.KEY_UNSURE, "the API key may have been revoked since the last configuration"
+    verdict.Reason.KEY_UNSURE, "the key may have been taken away meanwhile"
 )
 
 
--- a/src/lineworks/decisions/admission.py
+++ b/src/lineworks/decisions/admission.py
@@ -110,7 +110,7 @@
         )
         if self._waiting >= MAX_WAITING or misses_deadline or is_standing:
             return verdict.not_run(
-                verdict.Reason.OVERLOADED, f"expected queueing time {expected_wait:.3f} s"
+                verdict.Reason.OVERLOADED, f"expected wait {expected_wait:.3f} s"
             )
         if queue is None:
             queue = self._queues[caller_class] = _ClassQueue(0.0, collections.deque())
@@ -170,7 +170,7 @@
             if now + self._latency.value > entry.deadline:
                 self._on_expired(
                     entry.item,
-                    verdict.not_run(verdict.Reason.OVERLOADED, "queueing took too long"),
+                    verdict.not_run(verdict.Reason.OVERLOADED, "waited too long"),
                 )
                 continue
             self._in_flight += 1
--- a/src/lineworks/decisions/claims.py
+++ b/src/lineworks/decisions/claims.py
@@ -142,5 +142,5 @@
             lost[claim.nonce] = first
     encoded = encode_bucket(held)
     if len(encoded) > MAX_BUCKET_BYTES:
-        raise BucketFullError("claim bucket is full")
+        raise BucketFullError("the bucket has no room for another claim")
     return MergeResult(encoded, tuple(won), lost)
--- a/src/lineworks/decisions/tickets.py
+++ b/src/lineworks/decisions/tickets.py
@@ -64,7 +64,7 @@
     """
     parts = text.split("~")
     if len(parts) != 5 or parts[0] != _PREFIX or not parts[3].isdecimal():
-        raise TicketError("malformed ticket")
+        raise TicketError("not a ticket")
     return Ticket(parts[1], parts[2], int(parts[3]), parts[4])
 
 
@@ -161,15 +161,15 @@
         """
         entry = self._entries.get(text)
         if entry is None:
-            return verdict.not_run(verdict.Reason.TICKET_UNKNOWN, "ticket unknown to this process")
+            return verdict.not_run(verdict.Reason.TICKET_UNKNOWN, "not issued here, or forgotten")
         if entry.state is State.UNUSED:
             if now >= entry.expires:
-                return verdict.not_run(verdict.Reason.TICKET_EXPIRED, "ticket has expired")
+                return verdict.not_run(verdict.Reason.TICKET_EXPIRED, "the ticket's time is over")
             entry.state = State.RUNNING
             entry.fingerprint = fingerprint
             return Run()
         if entry.fingerprint != fingerprint:
-            detail = "ticket was already used for a different request"
+            detail = "the ticket was used for another request"
             return verdict.not_run(verdict.Reason.TICKET_USED, detail)
         if entry.state is State.RUNNING:
             return Wait()
