--- a/src/lineworks/forwarding/answers.py
+++ b/src/lineworks/forwarding/answers.py
@@ -7,7 +7,7 @@
 from lineworks.platform import headers
 
 
-def was_sent(found: verdict.Verdict) -> bool:
+def reached_target(found: verdict.Verdict) -> bool:
     """Say whether a call reached its target, and so counts as an attempt there.
 
     Args:
@@ -19,7 +19,7 @@
     return found.reason not in (verdict.Reason.UNREACHABLE, verdict.Reason.CAPPED)
 
 
-def judge(response: client_connection.Response) -> verdict.Verdict:
+def classify_response(response: client_connection.Response) -> verdict.Verdict:
     """Decide what an answer says of its request.
 
     Args:
--- a/src/lineworks/forwarding/evidence_exchange.py
+++ b/src/lineworks/forwarding/evidence_exchange.py
@@ -72,7 +72,7 @@
         name: str,
         hall: str,
         links: peer_links.PeerLinks,
-        peers: gatherers.Gatherers,
+        peers: gatherers.GathererClient,
         keeper: extra_keeper.ExtraKeeper,
         sightings: target_sightings.TargetSightings,
     ) -> None:
@@ -146,7 +146,7 @@
     def _tell_hall(self) -> None:
         news = self._beliefs.take(self._reactor.seconds())
         frame = node_frames.TargetReports(news, is_belief=True)
-        peers = self._peers.able(self._hall)
+        peers = self._peers.available_peers(self._hall)
         for peer in peers:
             self._links.send(peer, frame)
         self.counts["beliefs_told"] += len(news)
--- a/src/lineworks/forwarding/extra_keeper.py
+++ b/src/lineworks/forwarding/extra_keeper.py
@@ -83,7 +83,7 @@
         name: str,
         hall: str,
         links: peer_links.PeerLinks,
-        peers: gatherers.Gatherers,
+        peers: gatherers.GathererClient,
         extra: extra_attempts.ExtraAttempts,
         is_shared: bool = True,
     ) -> None:
@@ -163,10 +163,15 @@
         Returns:
             Its name; that of this instance if it is the one.
         """
-        able = self._peers.able(self._hall) if self._is_shared else []
-        (keeper,) = ownership.owners(KEEPER, [*able, self._name], 1)
+        available_peers = self._peers.available_peers(self._hall) if self._is_shared else []
+        (keeper,) = ownership.owners(KEEPER, [*available_peers, self._name], 1)
         if keeper != self._keeper:
-            _log.info("extra_keeper", keeper=keeper, before=self._keeper, instances=len(able) + 1)
+            _log.info(
+                "extra_keeper",
+                keeper=keeper,
+                before=self._keeper,
+                instances=len(available_peers) + 1,
+            )
             self._keeper = keeper
         return keeper
 
@@ -189,7 +194,7 @@
         """Pass a keeper over that does not answer."""
         pending = self._pending.pop(number)
         self.counts["unanswered"] += 1
-        self._peers.distrust(pending.keeper)
+        self._peers.mark_silent(pending.keeper)
         self._accept(pending.sent_at, pending.listeners, ())
 
     def _on_down(self, name: str) -> None:
@@ -252,7 +257,7 @@
         self._pulls = {number: at for number, at in self._pulls.items() if at > oldest}
         number = next(self._numbers)
         self._pulls[number] = now
-        self._owing = set(self._peers.able(self._hall))
+        self._owing = set(self._peers.available_peers(self._hall))
         for peer in self._owing:
             self._links.send(peer, node_frames.CreditPull(number))
         if self._owing:
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -296,7 +296,7 @@
             return outcome.refuse(found, retry_after=left)
         if not self._has_time(route):
             found = verdict.not_run(verdict.Reason.LEAVING, "the process would end first")
-            return outcome.refuse(found, retry_after=outcome.STOP_RETRY_AFTER)
+            return outcome.refuse(found, retry_after=outcome.SHUTDOWN_RETRY_AFTER)
         if self._shared.reactor.seconds() >= deadline:
             found = verdict.not_run(verdict.Reason.DEADLINE, "its time was over when it was read")
             return outcome.refuse(found)
@@ -340,7 +340,7 @@
         def give_up() -> None:
             withdraw()
             found = verdict.not_run(verdict.Reason.LEAVING, "its quota was still being asked for")
-            on_admission(quota_keeper.Admission(found, outcome.STOP_RETRY_AFTER))
+            on_admission(quota_keeper.Admission(found, outcome.SHUTDOWN_RETRY_AFTER))
 
         def stop() -> None:
             if self._asking.pop(work, None) is not None:
--- a/src/lineworks/forwarding/gatherers.py
+++ b/src/lineworks/forwarding/gatherers.py
@@ -16,7 +16,7 @@
 
     from lineworks.services import peer_links
 
-SILENCE = 0.3
+SILENCE_SECONDS = 0.3
 """Seconds with work in hand and no frame at all after which a gatherer is passed over. Its first
 frame of a query is due far earlier, and so is the next heartbeat."""
 
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Order:
+class _PendingQuery:
     """A query sent to a gatherer."""
 
     peer: str
@@ -43,7 +43,7 @@
     on_lost: Callable[[], None]
 
 
-class Gatherers:
+class GathererClient:
     """Sends queries to gatherers and matches what comes back."""
 
     def __init__(
@@ -66,7 +66,7 @@
         self._links = links
         self._rng = rng
         self._numbers = itertools.count(1)
-        self._orders: dict[int, _Order] = {}
+        self._pending: dict[int, _PendingQuery] = {}
         self._peers: dict[str, _Peer] = {}
         self._leaving: set[str] = set()
         links.handle(node_frames.GatherParts, self._on_parts)
@@ -78,7 +78,7 @@
         return self._own_rate
 
     def ranked(self, hall: str) -> list[str]:
-        """List the gatherers of a hall that are heard of, in the order in which to ask them.
+        """List the gatherers of a hall that are heard of, in the pending in which to ask them.
 
         Args:
             hall: The hall.
@@ -88,7 +88,7 @@
         """
         helpers = [
             gather_rate.Helper(name, self.rate(name), self._peer(name).open)
-            for name in self.able(hall)
+            for name in self.available_peers(hall)
         ]
         return gather_rate.rank(helpers, self._rng.random)
 
@@ -123,7 +123,7 @@
         Returns:
             Whether any of those that are heard of is.
         """
-        return any(self.is_faster(name) for name in self.able(hall))
+        return any(self.is_faster(name) for name in self.available_peers(hall))
 
     def set_rate(self, peer: str, rate: float) -> None:
         """Note how fast a gatherer says it is.
@@ -134,7 +134,7 @@
         """
         self._peer(peer).rate = rate
 
-    def able(self, hall: str) -> list[str]:
+    def available_peers(self, hall: str) -> list[str]:
         """List the other instances of a hall that are heard of and take new work.
 
         Args:
@@ -176,7 +176,7 @@
         """
         return name in self._leaving
 
-    def distrust(self, name: str) -> None:
+    def mark_silent(self, name: str) -> None:
         """Pass an instance over until it is heard of.
 
         Args:
@@ -184,10 +184,10 @@
         """
         self._peer(name).silent_at = self._reactor.seconds()
 
-    def distrust_all(self) -> None:
+    def mark_all_silent(self) -> None:
         """Pass all gatherers over until they are heard of: open connections went silent."""
         for name in self._links.up:
-            self.distrust(name)
+            self.mark_silent(name)
 
     def next_number(self) -> int:
         """Number a query."""
@@ -217,7 +217,7 @@
         if not state.open:
             state.waiting_since = self._reactor.seconds()
         state.open += 1
-        self._orders[query.number] = _Order(peer, on_parts, on_lost)
+        self._pending[query.number] = _PendingQuery(peer, on_parts, on_lost)
         return True
 
     def close(self, number: int, shards: tuple[int, ...] | None) -> None:
@@ -228,17 +228,17 @@
             shards: Shards that the gatherer still works on, which it gives up; None or empty
                 when there are none.
         """
-        order = self._orders.pop(number, None)
-        if order is None:
+        pending = self._pending.pop(number, None)
+        if pending is None:
             return
-        peer = self._peer(order.peer)
-        link = self._links.up.get(order.peer)
+        peer = self._peer(pending.peer)
+        link = self._links.up.get(pending.peer)
         now = self._reactor.seconds()
-        if link is not None and self._is_silent(order.peer, link, now):
+        if link is not None and self._is_silent(pending.peer, link, now):
             peer.silent_at = now
         peer.open -= 1
         if shards:
-            self._links.send(order.peer, node_frames.GatherCancel(number, ()))
+            self._links.send(pending.peer, node_frames.GatherCancel(number, ()))
 
     def cancel(self, number: int, shards: tuple[int, ...]) -> None:
         """Give up some shards of a query.
@@ -247,9 +247,9 @@
             number: Number of the query.
             shards: Their positions in the query.
         """
-        order = self._orders.get(number)
-        if order is not None and shards:
-            self._links.send(order.peer, node_frames.GatherCancel(number, shards))
+        pending = self._pending.get(number)
+        if pending is not None and shards:
+            self._links.send(pending.peer, node_frames.GatherCancel(number, shards))
 
     def _peer(self, name: str) -> _Peer:
         peer = self._peers.get(name)
@@ -263,20 +263,20 @@
             return True
         if not peer.open:
             return False
-        return now - max(link.heard_at, peer.waiting_since) > SILENCE
+        return now - max(link.heard_at, peer.waiting_since) > SILENCE_SECONDS
 
     def _on_parts(self, link: Any, frame: node_frames.GatherParts) -> None:
-        order = self._orders.get(frame.number)
-        if order is not None and link.hello is not None and order.peer == link.hello.name:
-            order.on_parts(frame)
+        pending = self._pending.get(frame.number)
+        if pending is not None and link.hello is not None and pending.peer == link.hello.name:
+            pending.on_parts(frame)
 
     def _on_down(self, name: str) -> None:
         self._leaving.discard(name)
-        lost = [number for number, order in self._orders.items() if order.peer == name]
+        lost = [number for number, pending in self._pending.items() if pending.peer == name]
         for number in lost:
-            order = self._orders.pop(number, None)
-            if order is None:
+            pending = self._pending.pop(number, None)
+            if pending is None:
                 # The end of an earlier query ended its search, which closed this one as well.
                 continue
             self._peer(name).open -= 1
-            order.on_lost()
+            pending.on_lost()
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -27,13 +27,13 @@
 COALESCE_SECONDS = 0.003
 """Seconds that a late part waits for others before it travels."""
 
-ROOM_PAUSE = 0.005
+SLOT_POLL_SECONDS = 0.005
 """Seconds between looks for room at targets that are full: a sixth of a usual service time."""
 
-FAILURES_PER_SECOND = 10.0
+FAILURE_LINES_PER_SECOND = 10.0
 """Log lines a second for attempts that failed."""
 
-_FAILURES = {
+_FAILURE_BY_CERTAINTY = {
     verdict.Certainty.NOT_RUN: node_frames.Failure.NOT_RUN,
     verdict.Certainty.MAY_HAVE_RUN: node_frames.Failure.MAY_HAVE_RUN,
     verdict.Certainty.RAN: node_frames.Failure.RAN,
@@ -50,25 +50,25 @@
     call: target_calls.TargetCall
     running: dict[int, Callable[[], bool]] = dataclasses.field(default_factory=dict)
     waiting: list[int] = dataclasses.field(default_factory=list)
-    look: Any = None
+    poll_timer: Any = None
     ready: list[parts.Part] = dataclasses.field(default_factory=list)
     failed: dict[int, node_frames.Failure] = dataclasses.field(default_factory=dict)
     broken: dict[int, str] = dataclasses.field(default_factory=dict)
     is_merging: bool = True
-    flush: Any = None
+    flush_timer: Any = None
     timeout: Any = None
     is_flushed: bool = False
     claim: fair_shares.Claim | None = None
     """Its place where room is shared between workspaces; None where everybody looks for itself."""
-    leave_line: Callable[[], None] = lambda: None
-    has_broken: bool = False
+    leave_queue: Callable[[], None] = lambda: None
+    has_broken_off: bool = False
     has_answer: bool = False
     first: tuple[bytes, ...] | None = None
 
     @property
-    def holds(self) -> bool:
+    def is_paused(self) -> bool:
         """Whether targets broke off and none has answered: the query may be what ends them."""
-        return self.has_broken and not self.has_answer
+        return self.has_broken_off and not self.has_answer
 
     @property
     def is_open(self) -> bool:
@@ -97,14 +97,14 @@
             without: Mechanisms that are switched off.
         """
         self._merges = mechanisms.Mechanism.MERGE not in without
-        self._leaves_out = mechanisms.Mechanism.HEDGE_FLOOR not in without
+        self._filters_by_floor = mechanisms.Mechanism.HEDGE_FLOOR not in without
         self._reactor = reactor
         self._hall = hall
         self._book = book
         self._calls = calls
         self._jobs: dict[tuple[str, int], _Job] = {}
-        self._line = waiting_line.WaitingLine(reactor, ROOM_PAUSE)
-        self._log = rate_limited_log.RateLimitedLog(reactor, "gatherer", FAILURES_PER_SECOND)
+        self._queue = waiting_line.WaitingLine(reactor, SLOT_POLL_SECONDS)
+        self._log = rate_limited_log.RateLimitedLog(reactor, "gatherer", FAILURE_LINES_PER_SECOND)
 
     @property
     def is_idle(self) -> bool:
@@ -121,7 +121,7 @@
         """
         keys = list(self._jobs)
         for key in keys:
-            self._hand_back(key)
+            self._finish_early(key)
         return len(keys)
 
     def on_query(
@@ -142,21 +142,21 @@
             query.head, query.body, query.attempt, query.deadline, is_repeatable=True
         )
         is_merging = self._merges and query.flush_at > now
-        self._line.is_fair = query.is_fair
+        self._queue.is_fair = query.is_fair
         claim = self._claim(query, now) if query.is_fair else None
         job = _Job(origin, query, reply, call, is_merging=is_merging, claim=claim)
         key = (origin, query.number)
         self._jobs[key] = job
         for shard in range(len(query.services)):
-            self._place(key, job, shard, now)
+            self._start_shard(key, job, shard, now)
         delay = max(0.0, query.deadline - now)
-        job.timeout = self._reactor.callLater(delay, self._hand_back, key)
+        job.timeout = self._reactor.callLater(delay, self._finish_early, key)
         if job.failed:
             self._send(job)
         if job.is_open:
             wait = max(0.0, query.flush_at - now)
-            job.flush = self._reactor.callLater(wait, self._on_flush, key)
-            self._look_again(key, job)
+            job.flush_timer = self._reactor.callLater(wait, self._on_flush, key)
+            self._wait_for_slots(key, job)
         else:
             self._close(key)
 
@@ -171,11 +171,11 @@
             query.has_quota,
         )
 
-    def _is_behind(self, job: _Job, service: str) -> bool:
+    def _must_yield(self, job: _Job, service: str) -> bool:
         """Say whether others that wait for a service go before a job."""
-        return job.claim is not None and self._line.is_behind(job.claim, (service,))
+        return job.claim is not None and self._queue.is_behind(job.claim, (service,))
 
-    def _place(
+    def _start_shard(
         self, key: tuple[str, int], job: _Job, shard: int, now: float, is_its_turn: bool = False
     ) -> None:
         """Ask a target of a shard; wait for room until the front looks at what is late.
@@ -189,42 +189,42 @@
         """
         service = job.query.services[shard]
         state = None
-        may_wait = now + ROOM_PAUSE < job.query.flush_at
-        is_next = is_its_turn or not may_wait or not self._is_behind(job, service)
-        if is_next and not job.holds:
+        may_wait = now + SLOT_POLL_SECONDS < job.query.flush_at
+        may_start = is_its_turn or not may_wait or not self._must_yield(job, service)
+        if may_start and not job.is_paused:
             state = self._book.choose_in(self._hall, service, now, not job.is_merging)
         if state is not None:
-            self._line.note_served(job.query.workspace)
+            self._queue.note_served(job.query.workspace)
             on_end = functools.partial(self._on_end, key, shard, state.id)
             job.running[shard] = self._calls.send(state, job.call, on_end)
         elif may_wait and self._book.is_full_in(self._hall, service, now):
             job.waiting.append(shard)
         else:
-            self._line.note_refused(job.query.workspace)
+            self._queue.note_refused(job.query.workspace)
             job.failed[shard] = node_frames.Failure.NOT_SENT
             detail = self._book.describe(service, now)
             found = verdict.not_run(verdict.Reason.NO_REPLICA, detail)
-            self._note_failure(job.query, service, found)
+            self._log_failure(job.query, service, found)
 
-    def _look_again(self, key: tuple[str, int], job: _Job) -> None:
-        job.look = None
+    def _wait_for_slots(self, key: tuple[str, int], job: _Job) -> None:
+        job.poll_timer = None
         if not job.waiting:
             return
-        look = functools.partial(self._on_look, key)
+        poll = functools.partial(self._on_poll, key)
         if job.claim is not None:
             services = [job.query.services[shard] for shard in job.waiting]
-            job.leave_line = self._line.wait(job.claim, services, look)
+            job.leave_queue = self._queue.wait(job.claim, services, poll)
         else:
-            job.look = self._reactor.callLater(ROOM_PAUSE, look)
+            job.poll_timer = self._reactor.callLater(SLOT_POLL_SECONDS, poll)
 
-    def _on_look(self, key: tuple[str, int]) -> None:
+    def _on_poll(self, key: tuple[str, int]) -> None:
         """Look for room for the shards that wait for it."""
         job = self._jobs[key]
         now = self._reactor.seconds()
         waiting, job.waiting = job.waiting, []
         for shard in waiting:
-            self._place(key, job, shard, now, is_its_turn=True)
-        self._look_again(key, job)
+            self._start_shard(key, job, shard, now, is_its_turn=True)
+        self._wait_for_slots(key, job)
         if not job.is_open:
             self._finish(key)
         elif job.failed:
@@ -241,13 +241,13 @@
         job = self._jobs.get(key)
         if job is None:
             return
-        wanted = cancel.shards or tuple(range(len(job.query.services)))
-        for shard in wanted:
+        cancelled = cancel.shards or tuple(range(len(job.query.services)))
+        for shard in cancelled:
             stop = job.running.pop(shard, None)
             if stop is not None:
                 stop()
-        job.waiting = [shard for shard in job.waiting if shard not in wanted]
-        job.ready = [part for part in job.ready if part.shards.isdisjoint(wanted)]
+        job.waiting = [shard for shard in job.waiting if shard not in cancelled]
+        job.ready = [part for part in job.ready if part.shards.isdisjoint(cancelled)]
         if not job.is_open:
             self._finish(key)
 
@@ -258,7 +258,7 @@
             origin: Its incarnation.
         """
         for key in [key for key in self._jobs if key[0] == origin]:
-            self._give_up(key)
+            self._abort(key)
 
     def _on_end(
         self, key: tuple[str, int], shard: int, target: str, end: target_calls.CallEnd
@@ -272,22 +272,26 @@
             job.ready.append(parts.Part(frozenset((shard,)), (stamp,), top))
             job.has_answer = True
         else:
-            is_sent = answers.was_sent(end.verdict)
-            failure = _FAILURES[end.verdict.certainty] if is_sent else node_frames.Failure.NOT_SENT
+            is_sent = answers.reached_target(end.verdict)
+            failure = (
+                _FAILURE_BY_CERTAINTY[end.verdict.certainty]
+                if is_sent
+                else node_frames.Failure.NOT_SENT
+            )
             job.failed[shard] = failure
             if end.broke_off:
                 job.broken[shard] = target
-                job.has_broken = True
+                job.has_broken_off = True
             job.has_answer |= end.verdict.is_answered
-            self._note_failure(job.query, job.query.services[shard], end.verdict)
+            self._log_failure(job.query, job.query.services[shard], end.verdict)
         if not job.is_open:
             self._finish(key)
         elif job.failed:
             self._send(job)
-        elif job.is_flushed and job.flush is None:
-            job.flush = self._reactor.callLater(COALESCE_SECONDS, self._on_flush, key)
+        elif job.is_flushed and job.flush_timer is None:
+            job.flush_timer = self._reactor.callLater(COALESCE_SECONDS, self._on_flush, key)
 
-    def _note_failure(
+    def _log_failure(
         self, query: node_frames.GatherQuery, service: str, found: verdict.Verdict
     ) -> None:
         self._log.info(
@@ -301,7 +305,7 @@
 
     def _on_flush(self, key: tuple[str, int]) -> None:
         job = self._jobs[key]
-        job.flush = None
+        job.flush_timer = None
         job.is_flushed = True
         self._send(job)
 
@@ -316,7 +320,7 @@
         ready = job.ready if is_due else []
         if not ready and not job.failed:
             return
-        floor = _floor(job) if self._leaves_out else b""
+        floor = _floor(job) if self._filters_by_floor else b""
         is_merged = job.is_merging and job.first is None
         groups = [parts.merge(ready, job.query.top)] if is_merged else ready
         found = [[record for record in part.records if record >= floor] for part in groups]
@@ -339,7 +343,7 @@
             )
         )
 
-    def _hand_back(self, key: tuple[str, int]) -> None:
+    def _finish_early(self, key: tuple[str, int]) -> None:
         """Stop all work on a query, and send what is in and what became of the rest.
 
         A front that hears nothing of a query by its deadline can't say that it did not run.
@@ -353,7 +357,7 @@
         job.waiting.clear()
         self._finish(key)
 
-    def _give_up(self, key: tuple[str, int]) -> None:
+    def _abort(self, key: tuple[str, int]) -> None:
         job = self._jobs.get(key)
         if job is None:
             return
@@ -364,8 +368,8 @@
 
     def _close(self, key: tuple[str, int]) -> None:
         job = self._jobs.pop(key)
-        job.leave_line()
-        for timer in (job.flush, job.look, job.timeout):
+        job.leave_queue()
+        for timer in (job.flush_timer, job.poll_timer, job.timeout):
             if timer is not None and timer.active():
                 timer.cancel()
 
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -119,7 +119,7 @@
         self._calls = target_calls.TargetCalls(reactor, self._learning)
         is_rated = mechanisms.Mechanism.FAST_GATHERERS not in without
         own_rate = settings.gather_rate if is_rated else gather_rate.UNKNOWN
-        self._gatherers = gatherers.Gatherers(reactor, self._links, self._rng, own_rate)
+        self._gatherers = gatherers.GathererClient(reactor, self._links, self._rng, own_rate)
         self._keeper = extra_keeper.ExtraKeeper(
             reactor,
             settings.name,
@@ -182,7 +182,7 @@
             tools.HedgeTimes(),
             self._counters,
             rate_limited_log.RateLimitedLog(reactor, "hedges", tools.HEDGE_LINES_PER_SECOND),
-            waiting_line.WaitingLine(reactor, search.ROOM_PAUSE, self._rng.random),
+            waiting_line.WaitingLine(reactor, search.SLOT_POLL_SECONDS, self._rng.random),
             without,
         )
         self._request_log = request_log.RequestLog(reactor, self._metrics)
@@ -272,7 +272,7 @@
         self._directory.on_targets = self._on_targets
         self._directory.on_instances = self._on_other_keys
         self._registration.on_listed = self._count_instances
-        self._calls.on_silence = self._gatherers.distrust_all
+        self._calls.on_silence = self._gatherers.mark_all_silent
         links = self._links
         links.handle(node_frames.GatherQuery, self._on_query)
         links.handle(node_frames.GatherCancel, self._on_cancel)
--- a/src/lineworks/forwarding/outcome.py
+++ b/src/lineworks/forwarding/outcome.py
@@ -15,12 +15,12 @@
 RETRY_AFTER = 0.25
 """Seconds after which a caller may ask again: a replica's pause is over, or a restart is known."""
 
-BLIND_RETRY_AFTER = 1.0
+NOT_READY_RETRY_AFTER = 1.0
 """Seconds after which a caller may ask an instance again that knows neither configuration nor
 targets: its store does not answer, which rarely ends within a fraction of a second, and callers ask
 only once or twice more. They wait for a third of the time that they have left at most."""
 
-STOP_RETRY_AFTER = 0.0
+SHUTDOWN_RETRY_AFTER = 0.0
 """Seconds after which a caller may ask again when this process ends first: another instance takes
 its next connection."""
 
@@ -106,7 +106,7 @@
     else:
         status = 502
     is_blind = found.reason is verdict.Reason.NOT_READY
-    pause = BLIND_RETRY_AFTER if is_blind else RETRY_AFTER
+    pause = NOT_READY_RETRY_AFTER if is_blind else RETRY_AFTER
     if retry_after is not None:
         pause = retry_after
     fields = [(b"Retry-After", b"%.2f" % pause)] if status != 504 else []
--- a/src/lineworks/forwarding/quota_keeper.py
+++ b/src/lineworks/forwarding/quota_keeper.py
@@ -108,7 +108,7 @@
         reactor: Any,
         name: str,
         links: peer_links.PeerLinks,
-        peers: gatherers.Gatherers,
+        peers: gatherers.GathererClient,
         ranks: quota_ranks.QuotaRanks,
         holder: quota_holder.QuotaHolder,
     ) -> None:
@@ -314,7 +314,7 @@
         """Pass a holder over that does not answer."""
         self.counts["unanswered"] += 1
         del self._questions[question.number]
-        self._peers.distrust(question.tried[-1])
+        self._peers.mark_silent(question.tried[-1])
         self._ask_next(question)
 
     def _on_down(self, name: str) -> None:
--- a/src/lineworks/forwarding/quota_ranks.py
+++ b/src/lineworks/forwarding/quota_ranks.py
@@ -38,7 +38,7 @@
         name: str,
         hall: str,
         links: peer_links.PeerLinks,
-        peers: gatherers.Gatherers,
+        peers: gatherers.GathererClient,
         members: Callable[[], Collection[member.Member]],
     ) -> None:
         """Start with nobody lost.
@@ -79,10 +79,10 @@
         Returns:
             Their names, the best first; this instance may be among them.
         """
-        able = set(self._peers.able(self._hall))
-        if not able or not self.is_leaving():
-            able.add(self._name)
-        return [name for name in self._first(workspace) if name in able]
+        available_peers = set(self._peers.available_peers(self._hall))
+        if not available_peers or not self.is_leaving():
+            available_peers.add(self._name)
+        return [name for name in self._first(workspace) if name in available_peers]
 
     def foreign_holder(self, workspace: str, hall: str) -> str | None:
         """Choose whom to ask in another hall.
@@ -94,8 +94,10 @@
         Returns:
             Its name; None when nobody there is heard of who may hold tokens.
         """
-        able = set(self._peers.able(hall))
-        return next((name for name in self._first(workspace, hall) if name in able), None)
+        available_peers = set(self._peers.available_peers(hall))
+        return next(
+            (name for name in self._first(workspace, hall) if name in available_peers), None
+        )
 
     def any_foreign_holder(self, workspace: str) -> str | None:
         """Choose whom to ask in any other hall, when nobody in this one answers.
--- a/src/lineworks/forwarding/request_log.py
+++ b/src/lineworks/forwarding/request_log.py
@@ -15,25 +15,25 @@
     from lineworks.forwarding import metrics, outcome
     from lineworks.http1 import server_connection
 
-BAD_PER_SECOND = 40.0
+PROBLEM_LINES_PER_SECOND = 40.0
 """Lines a second for requests that failed, were refused, late or answered in part."""
 
-MOST_NAMED = 6
+MAX_LISTED = 6
 """Missing shards, and failed attempts, that a line names at most."""
 
-GOOD_PER_SECOND = 0.5
+NORMAL_LINES_PER_SECOND = 0.5
 """Lines a second for all others: enough to compare with."""
 
-OVER_LIMIT_PER_SECOND = 20.0
+OVER_LIMIT_LINES_PER_SECOND = 20.0
 """Lines a second for requests that more targets may have run than their route allows. None is due,
 so they have a rate of their own: other lines must not crowd them out."""
 
 
-CUT_PER_SECOND = 100.0
+CUT_LINES_PER_SECOND = 100.0
 """Lines a second for requests that the end of the process cut, and for answers that did not leave
 it. None is due, and all come at one moment: the burst holds what a process has under way."""
 
-BROKE_OFF_PER_SECOND = 20.0
+BROKE_OFF_LINES_PER_SECOND = 20.0
 """Lines a second for requests under which targets broke off; also when a host takes all with it."""
 
 
@@ -49,16 +49,20 @@
         """
         self._reactor = reactor
         self._counts = counts
-        self._bad = rate_limited_log.RateLimitedLog(reactor, "front", BAD_PER_SECOND)
-        self._good = rate_limited_log.RateLimitedLog(reactor, "front", GOOD_PER_SECOND)
-        self._over_limit = rate_limited_log.RateLimitedLog(reactor, "front", OVER_LIMIT_PER_SECOND)
-        self._broke_off = rate_limited_log.RateLimitedLog(reactor, "front", BROKE_OFF_PER_SECOND)
-        self._cut = rate_limited_log.RateLimitedLog(reactor, "front", CUT_PER_SECOND)
+        self._problems = rate_limited_log.RateLimitedLog(reactor, "front", PROBLEM_LINES_PER_SECOND)
+        self._normal = rate_limited_log.RateLimitedLog(reactor, "front", NORMAL_LINES_PER_SECOND)
+        self._over_limit = rate_limited_log.RateLimitedLog(
+            reactor, "front", OVER_LIMIT_LINES_PER_SECOND
+        )
+        self._broke_off = rate_limited_log.RateLimitedLog(
+            reactor, "front", BROKE_OFF_LINES_PER_SECOND
+        )
+        self._cut = rate_limited_log.RateLimitedLog(reactor, "front", CUT_LINES_PER_SECOND)
 
     @property
     def left_out(self) -> int:
         """Lines left out since the start."""
-        logs = (self._bad, self._good, self._over_limit, self._broke_off, self._cut)
+        logs = (self._problems, self._normal, self._over_limit, self._broke_off, self._cut)
         return sum(log.suppressed_total for log in logs)
 
     def on_end(
@@ -87,14 +91,14 @@
         seconds = self._reactor.seconds() - request.arrived
         is_late = route is not None and seconds > route.aim
         is_partial = found.covered < found.total
-        self._counts.on_end(route, found, seconds, _name(workspace))
-        is_good = found.answer.status == 200 and not is_late and not is_partial
-        log = self._good if is_good else self._bad
+        self._counts.on_end(route, found, seconds, _workspace_name(workspace))
+        is_normal = found.answer.status == 200 and not is_late and not is_partial
+        log = self._normal if is_normal else self._problems
         log.info(
             "request",
             id=attempt.decode("latin-1"),
             content=content,
-            workspace=_name(workspace),
+            workspace=_workspace_name(workspace),
             route=route.name if route is not None else None,
             version=version,
             status=found.answer.status,
@@ -107,8 +111,8 @@
             covered=found.covered,
             total=found.total,
             hedges=found.hedges,
-            missing=found.missing[:MOST_NAMED],
-            failures=found.failures[:MOST_NAMED],
+            missing=found.missing[:MAX_LISTED],
+            failures=found.failures[:MAX_LISTED],
             target=found.target,
             view_age=round(view_age, 3),
         )
@@ -117,7 +121,7 @@
                 "attempts_over_limit",
                 id=attempt.decode("latin-1"),
                 limit=route.max_attempts if route is not None else None,
-                attempts=found.over_limit[:MOST_NAMED],
+                attempts=found.over_limit[:MAX_LISTED],
             )
         if found.broken:
             self._broke_off.info(
@@ -126,7 +130,7 @@
                 content=content,
                 count=len(found.broken),
                 is_answered=found.is_answered,
-                targets=found.broken[:MOST_NAMED],
+                targets=found.broken[:MAX_LISTED],
             )
 
     def on_cut(
@@ -146,12 +150,12 @@
             known: What is known of it.
             workspace: On whose behalf it came, if that is known.
         """
-        self._counts.on_cut(route, _name(workspace))
+        self._counts.on_cut(route, _workspace_name(workspace))
         seconds = self._reactor.seconds() - request.arrived
         self._cut.info(
             "cut_at_end",
             id=attempt.decode("latin-1"),
-            workspace=_name(workspace),
+            workspace=_workspace_name(workspace),
             route=route.name,
             certainty=known.certainty.value,
             detail=known.detail,
@@ -185,16 +189,16 @@
             route: The route.
             workspace: On whose behalf it came, if that is known.
         """
-        self._counts.on_caller_gone(route, _name(workspace))
+        self._counts.on_caller_gone(route, _workspace_name(workspace))
         seconds = self._reactor.seconds() - request.arrived
-        self._bad.info(
+        self._problems.info(
             "caller_gone",
             id=attempt.decode("latin-1"),
-            workspace=_name(workspace),
+            workspace=_workspace_name(workspace),
             route=route.name,
             ms=round(seconds * 1000, 1),
         )
 
 
-def _name(workspace: workspaces.Workspace | None) -> str | None:
+def _workspace_name(workspace: workspaces.Workspace | None) -> str | None:
     return workspace.name if workspace is not None else None
--- a/src/lineworks/forwarding/search_state.py
+++ b/src/lineworks/forwarding/search_state.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Try(attempts.Attempt):
+class ShardAttempt(attempts.Attempt):
     """One attempt at one shard."""
 
     shard: int = 0
@@ -62,22 +62,22 @@
     service: str
     """The service that it is."""
 
-    made: list[Try] = dataclasses.field(default_factory=list)
+    all_attempts: list[ShardAttempt] = dataclasses.field(default_factory=list)
     """All attempts, in the order in which they were sent."""
 
-    running: list[Try] = dataclasses.field(default_factory=list)
+    running: list[ShardAttempt] = dataclasses.field(default_factory=list)
     """Attempts under way."""
 
     tried: set[str] = dataclasses.field(default_factory=set)
     """Identities of targets asked since all of them were last allowed again."""
 
-    pauses: int = 0
+    backoffs: int = 0
     """Pauses taken, because no target was left to ask."""
 
     sent: int = 0
     """Attempts that reached a target, as far as is known."""
 
-    asks: int = 0
+    budget_requests: int = 0
     """Times that an extra attempt was asked for."""
 
     is_hedged: bool = False
@@ -105,7 +105,7 @@
         Returns:
             The target, or None when none may be asked now.
         """
-        return attempts.choose_target(book, route, self.service, now, self.made, self.tried)
+        return attempts.choose_target(book, route, self.service, now, self.all_attempts, self.tried)
 
     def was_sent_to(self, target: str) -> bool:
         """Say whether a target was asked directly.
@@ -116,27 +116,27 @@
         Returns:
             Whether it ran the shard or may run it yet.
         """
-        return bool(self.made) and target in attempts.known_targets(self.made)
+        return bool(self.all_attempts) and target in attempts.known_targets(self.all_attempts)
 
 
-def over_limit(shards: Iterable[Shard], most: int) -> tuple[str, ...]:
+def over_limit(shards: Iterable[Shard], max_targets: int) -> tuple[str, ...]:
     """Tell of the shards that more targets may have run than the route allows.
 
     Args:
         shards: The search's shards.
-        most: Targets that the route allows.
+        max_targets: Targets that the route allows.
 
     Returns:
         For each of them its service, with the end of every attempt.
     """
     return tuple(
-        attempts.describe(shard.service, shard.made)
+        attempts.describe(shard.service, shard.all_attempts)
         for shard in shards
-        if attempts.is_over(shard.made, most)
+        if attempts.is_over(shard.all_attempts, max_targets)
     )
 
 
-def why_missing(shard: Shard) -> str:
+def describe_missing(shard: Shard) -> str:
     """Tell what a shard that is not in waited for.
 
     Args:
@@ -159,12 +159,12 @@
 
 
 def read_parts(
-    tries: Sequence[Try], frame: node_frames.GatherParts
-) -> list[tuple[parts.Part, list[Try]]]:
+    query_attempts: Sequence[ShardAttempt], frame: node_frames.GatherParts
+) -> list[tuple[parts.Part, list[ShardAttempt]]]:
     """Read what a gatherer has of the shards of a query.
 
     Args:
-        tries: The query's attempts, by position.
+        query_attempts: The query's attempts, by position.
         frame: What the gatherer sent; positions that the query does not have are passed over.
 
     Returns:
@@ -173,7 +173,9 @@
     records = parts.split_records(frame.records)
     rows = list(zip(frame.shards, frame.stamps, strict=True))
     if not frame.counts:
-        arrived = [tries[position] for position, _ in rows if position < len(tries)]
+        arrived = [
+            query_attempts[position] for position, _ in rows if position < len(query_attempts)
+        ]
         shards = frozenset(attempt.shard for attempt in arrived)
         return [(parts.Part(shards, frame.stamps, tuple(records)), arrived)] if arrived else []
     found = []
@@ -181,8 +183,8 @@
     for (position, stamp), count in zip(rows, frame.counts, strict=True):
         own = tuple(records[begin : begin + count])
         begin += count
-        if position < len(tries):
-            attempt = tries[position]
+        if position < len(query_attempts):
+            attempt = query_attempts[position]
             found.append((parts.Part(frozenset((attempt.shard,)), (stamp,), own), [attempt]))
     return found
 
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -112,7 +112,7 @@
             self._pass_back(self._failure, self._known[-1])
             return
         self._give_up_running()
-        found = outcome.refuse(self.known(), len(self._made), outcome.STOP_RETRY_AFTER)
+        found = outcome.refuse(self.known(), len(self._made), outcome.SHUTDOWN_RETRY_AFTER)
         self._end(found)
 
     def cancel(self) -> None:
@@ -245,7 +245,7 @@
         """Pay for another attempt; one in place of an attempt that reached no target is free."""
         shared = self._shared
         is_free = mechanisms.Mechanism.FREE_RETRIES not in shared.without
-        if is_free and not answers.was_sent(last):
+        if is_free and not answers.reached_target(last):
             return True
         now = shared.reactor.seconds()
         return shared.may_spend(self._service, now, workspace=self._call.workspace)
--- a/src/lineworks/forwarding/target_calls.py
+++ b/src/lineworks/forwarding/target_calls.py
@@ -319,7 +319,7 @@
             return
         if connection is not None:
             self._keep(exchange, connection)
-        found = answers.judge(end)
+        found = answers.classify_response(end)
         self._end(exchange, CallEnd(found, end), is_progress=True)
 
     def _keep(self, exchange: _Exchange, connection: client_connection.ClientConnection) -> None:
--- a/src/lineworks/forwarding/tools.py
+++ b/src/lineworks/forwarding/tools.py
@@ -122,7 +122,7 @@
     calls: target_calls.TargetCalls
     """Sends requests to targets."""
 
-    gatherers: gatherers.Gatherers
+    gatherers: gatherers.GathererClient
     """Sends queries to gatherers in other halls."""
 
     extra: extra_attempts.ExtraAttempts
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -104,7 +104,7 @@
         self.name, self.hall, self.incarnation = name, hall, incarnation
         self.reactor = Reactor(fleet.clock)
         self.links = Links()
-        peers = gatherers.Gatherers(self.reactor, self.links, fleet.rng)
+        peers = gatherers.GathererClient(self.reactor, self.links, fleet.rng)
         members = fleet.members
         self.ranks = quota_ranks.QuotaRanks(
             self.reactor, name, hall, self.links, peers, lambda: members
--- a/tests/test_attempt_limit.py
+++ b/tests/test_attempt_limit.py
@@ -188,7 +188,10 @@
 
 def made(*rows):
     """Make attempts: each a target's name, its end, and the query that it went through, if any."""
-    return [search_state.Try(_Target(name), 0.0, end=end, query=query) for name, end, query in rows]
+    return [
+        search_state.ShardAttempt(_Target(name), 0.0, end=end, query=query)
+        for name, end, query in rows
+    ]
 
 
 FAILED = verdict.ran(verdict.Reason.FAILED)
--- a/tests/test_blind_start.py
+++ b/tests/test_blind_start.py
@@ -110,4 +110,4 @@
     reply = world.ask("akl-1", "/read/x")
     world.run(0.3)
     assert reply.status == 503
-    assert float(reply.headers["retry-after"]) == outcome.BLIND_RETRY_AFTER
+    assert float(reply.headers["retry-after"]) == outcome.NOT_READY_RETRY_AFTER
--- a/tests/test_gatherers.py
+++ b/tests/test_gatherers.py
@@ -29,7 +29,7 @@
 
 def test_a_search_that_ends_with_its_first_lost_query_may_close_the_others():
     links = Links()
-    asked = gatherers.Gatherers(fakes.VirtualClock(), links, random.Random(1))
+    asked = gatherers.GathererClient(fakes.VirtualClock(), links, random.Random(1))
     lost = []
 
     def end_search():
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -131,7 +131,7 @@
 
 
 def test_parts_side_by_side_are_read_apart():
-    tries = [search_state.Try(None, 0.0, shard=shard) for shard in (4, 5, 6)]
+    tries = [search_state.ShardAttempt(None, 0.0, shard=shard) for shard in (4, 5, 6)]
     records = b"".join(letter.encode() * 16 for letter in "ced")
     frame = node_frames.GatherParts(7, (2, 9, 0), ("x", "y", "z"), records, (), (), (1, 1, 1))
     found = search_state.read_parts(tries, frame)
@@ -212,7 +212,7 @@
     case.clock.advance(0.012)
     assert case.sent == []
     case.make_room("s1")
-    case.clock.advance(gathering.ROOM_PAUSE)
+    case.clock.advance(gathering.SLOT_POLL_SECONDS)
     assert list(case.calls.open) == ["s0", "s1"]
     case.calls.answer("s0", "a")
     case.calls.answer("s1", "b")
@@ -223,7 +223,7 @@
 def test_a_target_that_stays_full_is_reported_before_the_front_looks_at_what_is_late():
     case = Case(shards=2, full=["s1"])
     for _ in range(10):
-        case.clock.advance(gathering.ROOM_PAUSE)
+        case.clock.advance(gathering.SLOT_POLL_SECONDS)
     assert [frame.failed for frame in case.sent if frame.failed] == [(1,)]
     case.calls.answer("s0", "a")
     assert case.gatherer.is_idle
