--- a/src/lineworks/forwarding/answers.py
+++ b/src/lineworks/forwarding/answers.py
@@ -1,4 +1,4 @@
-"""What a target's answer, or the lack of one, says of its request."""
+"""Derives verdicts from targets' responses."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 
 
 def reached_target(found: verdict.Verdict) -> bool:
-    """Say whether a call reached its target, and so counts as an attempt there.
+    """Return whether a call reached its target, so that it counts as an attempt there.
 
     Args:
-        found: Verdict of the call.
+        found: The verdict on the call.
 
     Returns:
-        False when no connection could be had.
+        False if no connection was available.
     """
     return found.reason not in (verdict.Reason.UNREACHABLE, verdict.Reason.CAPPED)
 
 
 def classify_response(response: client_connection.Response) -> verdict.Verdict:
-    """Decide what an answer says of its request.
+    """Determine from a response whether its request ran and succeeded.
 
     Args:
-        response: A target's whole answer.
+        response: The complete response of a target.
 
     Returns:
-        OK only for a success with the target's signature and an unchanged body.
+        OK only for a 2xx status with the target's response stamp and no content encoding. A
+        refusal counts as not run; any other response counts as a failed run.
     """
     found = response.headers
     status = response.status
--- a/src/lineworks/forwarding/gatherers.py
+++ b/src/lineworks/forwarding/gatherers.py
@@ -1,4 +1,4 @@
-"""The front's view of the gatherers in other data halls: whom to ask, and what they owe."""
+"""The front's client for gatherers: selects peers, sends queries and dispatches their replies."""
 
 from __future__ import annotations
 
@@ -17,34 +17,43 @@
     from lineworks.services import peer_links
 
 SILENCE_SECONDS = 0.3
-"""Seconds with work in hand and no frame at all after which a gatherer is passed over. Its first
-frame of a query is due far earlier, and so is the next heartbeat."""
+"""Seconds without any frame, while queries are open, after which a gatherer counts as silent and is
+skipped. Its first message for a query and its next heartbeat are both due far earlier."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Peer:
-    """What one gatherer owes."""
+    """State of one gatherer."""
 
     open: int = 0
+    """Number of queries that it has not finished."""
+
     waiting_since: float = 0.0
+    """When it last went from no open query to one, in seconds."""
+
     silent_at: float = -math.inf
-    """When it was last known to be silent; it is passed over until it is heard of again."""
+    """When it was last found silent, in seconds; it is skipped until a frame arrives after that."""
 
     rate: float = gather_rate.UNKNOWN
-    """Shards a second that it says it can ask."""
+    """Shards per second that it reports it can query."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _PendingQuery:
-    """A query sent to a gatherer."""
+    """A query sent to a gatherer that has not been closed."""
 
     peer: str
+    """Name of the gatherer."""
+
     on_parts: Callable[[node_frames.GatherParts], None]
+    """Called with each message for the query."""
+
     on_lost: Callable[[], None]
+    """Called when the link is lost."""
 
 
 class GathererClient:
-    """Sends queries to gatherers and matches what comes back."""
+    """Sends queries to gatherers and matches replies to them."""
 
     def __init__(
         self,
@@ -53,13 +62,13 @@
         rng: random.Random,
         own_rate: float = gather_rate.UNKNOWN,
     ) -> None:
-        """Start with nothing under way.
+        """Create a client without open queries.
 
         Args:
             reactor: Twisted's reactor.
             links: Links to the other instances.
             rng: Spreads queries over the gatherers of a hall.
-            own_rate: Shards a second that this instance can ask itself.
+            own_rate: Shards per second that this instance can query itself.
         """
         self._own_rate = own_rate
         self._reactor = reactor
@@ -74,17 +83,17 @@
 
     @property
     def own_rate(self) -> float:
-        """Shards a second that this instance can ask itself."""
+        """Shards per second that this instance can query itself."""
         return self._own_rate
 
     def ranked(self, hall: str) -> list[str]:
-        """List the gatherers of a hall that are heard of, in the pending in which to ask them.
+        """List the available gatherers of a hall in order of preference.
 
         Args:
-            hall: The hall.
+            hall: The data hall.
 
         Returns:
-            Their names.
+            Names of the instances.
         """
         helpers = [
             gather_rate.Helper(name, self.rate(name), self._peer(name).open)
@@ -93,55 +102,55 @@
         return gather_rate.rank(helpers, self._rng.random)
 
     def rate(self, name: str) -> float:
-        """Tell how fast a gatherer is, as far as it says.
+        """Return the rate that a gatherer reports.
 
         Args:
-            name: The gatherer.
+            name: Name of the gatherer.
 
         Returns:
-            Shards a second; unknown where this instance does not tell its own rate.
+            Shards per second; `gather_rate.UNKNOWN` if this instance has no rate of its own.
         """
         return self._peer(name).rate if self._own_rate > gather_rate.UNKNOWN else self._own_rate
 
     def is_faster(self, name: str) -> bool:
-        """Say whether a gatherer is so much faster that work of this instance is handed to it.
+        """Return whether a gatherer is so much faster that this instance hands work over to it.
 
         Args:
-            name: The gatherer.
+            name: Name of the gatherer.
 
         Returns:
-            Whether it is; False where either rate is unknown.
+            Whether it is; False if either rate is unknown.
         """
         return gather_rate.is_faster(self.rate(name), self._own_rate)
 
     def has_faster(self, hall: str) -> bool:
-        """Say whether a gatherer of a hall is much faster than this instance.
+        """Return whether an available gatherer of a hall is much faster than this instance.
 
         Args:
-            hall: The hall.
+            hall: The data hall.
 
         Returns:
-            Whether any of those that are heard of is.
+            Whether there is one.
         """
         return any(self.is_faster(name) for name in self.available_peers(hall))
 
     def set_rate(self, peer: str, rate: float) -> None:
-        """Note how fast a gatherer says it is.
+        """Record the rate that a gatherer reports.
 
         Args:
-            peer: The gatherer.
-            rate: Shards a second.
+            peer: Name of the gatherer.
+            rate: Shards per second.
         """
         self._peer(peer).rate = rate
 
     def available_peers(self, hall: str) -> list[str]:
-        """List the other instances of a hall that are heard of and take new work.
+        """List the other instances of a hall that are responsive and accept new work.
 
         Args:
-            hall: The hall.
+            hall: The data hall.
 
         Returns:
-            Their names.
+            Names of the instances.
         """
         now = self._reactor.seconds()
         return [
@@ -154,11 +163,11 @@
         ]
 
     def set_leaving(self, peer: str, is_leaving: bool) -> None:
-        """Note whether a gatherer takes no new work.
+        """Record whether a gatherer is shutting down and so accepts no new work.
 
         Args:
-            peer: The gatherer.
-            is_leaving: Whether it is about to stop.
+            peer: Name of the gatherer.
+            is_leaving: Whether it is shutting down.
         """
         if is_leaving:
             self._leaving.add(peer)
@@ -166,10 +175,10 @@
             self._leaving.discard(peer)
 
     def is_leaving(self, name: str) -> bool:
-        """Say whether an instance told that it takes no new work.
+        """Return whether an instance announced that it is shutting down.
 
         Args:
-            name: The instance.
+            name: Name of the instance.
 
         Returns:
             Whether it did.
@@ -177,20 +186,23 @@
         return name in self._leaving
 
     def mark_silent(self, name: str) -> None:
-        """Pass an instance over until it is heard of.
+        """Mark an instance as silent, so that it is skipped until its next frame arrives.
 
         Args:
-            name: The instance.
+            name: Name of the instance.
         """
         self._peer(name).silent_at = self._reactor.seconds()
 
     def mark_all_silent(self) -> None:
-        """Pass all gatherers over until they are heard of: open connections went silent."""
+        """Mark all peers as silent, because open connections to targets went silent.
+
+        Each peer is skipped until its next frame arrives.
+        """
         for name in self._links.up:
             self.mark_silent(name)
 
     def next_number(self) -> int:
-        """Number a query."""
+        """Return the number for a new query."""
         return next(self._numbers)
 
     def send(
@@ -203,13 +215,13 @@
         """Send a query.
 
         Args:
-            peer: The gatherer.
+            peer: Name of the gatherer.
             query: The query.
-            on_parts: Takes what comes back, in one or more pieces.
-            on_lost: Called when the link is gone; nothing more comes.
+            on_parts: Called with each message for the query, of which there may be several.
+            on_lost: Called if the link is lost, after which no message follows.
 
         Returns:
-            False when there is no link, and so nothing was sent.
+            False if there is no link, so that nothing was sent.
         """
         if not self._links.send(peer, query):
             return False
@@ -225,8 +237,8 @@
 
         Args:
             number: Number of the query.
-            shards: Shards that the gatherer still works on, which it gives up; None or empty
-                when there are none.
+            shards: Positions of the shards that the gatherer still works on; None or empty if there
+                are none. If there are any, it is told to cancel the query.
         """
         pending = self._pending.pop(number, None)
         if pending is None:
@@ -241,11 +253,11 @@
             self._links.send(pending.peer, node_frames.GatherCancel(number, ()))
 
     def cancel(self, number: int, shards: tuple[int, ...]) -> None:
-        """Give up some shards of a query.
+        """Tell the gatherer to cancel some shards of a query.
 
         Args:
             number: Number of the query.
-            shards: Their positions in the query.
+            shards: Positions of the shards in the query.
         """
         pending = self._pending.get(number)
         if pending is not None and shards:
@@ -276,7 +288,7 @@
         for number in lost:
             pending = self._pending.pop(number, None)
             if pending is None:
-                # The end of an earlier query ended its search, which closed this one as well.
+                # The callback of an earlier query ended its search, which closed this query too.
                 continue
             self._peer(name).open -= 1
             pending.on_lost()
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -1,10 +1,11 @@
-"""The gatherer's side: asks the targets of its own data hall for several shards of one search.
-
-What comes in is merged before it travels, when all is in or when the front wants to know what is
-late. Later parts travel soon after and are not merged, nor are any parts of a query that wants what
-there is from the start, as hedges do: the front has asked for these shards elsewhere, and could use
-nothing of a merged part that holds a shard which it has by now.
-Failures travel at once, since only the front decides about further attempts.
+"""The gatherer: queries targets of its data hall for shards of a search on behalf of a front.
+
+Results are merged and sent when all have arrived, or at the flush time, when the front checks for
+slow shards. Results that arrive later are sent shortly afterwards without merging. So are all
+results of a query whose flush time has already passed when it arrives, as with hedges. In both
+cases the front has queried the shards elsewhere too, and it has to discard a merged result as a
+whole if it already has one of its shards. Failures are sent at once, since only the front decides
+about retries.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
     from lineworks.forwarding import target_book
 
 COALESCE_SECONDS = 0.003
-"""Seconds that a late part waits for others before it travels."""
+"""Seconds for which a late result is held so that others can be sent with it."""
 
 SLOT_POLL_SECONDS = 0.005
-"""Seconds between looks for room at targets that are full: a sixth of a usual service time."""
+"""Seconds between checks for a free slot at full targets: a sixth of a typical service time."""
 
 FAILURE_LINES_PER_SECOND = 10.0
-"""Log lines a second for attempts that failed."""
+"""Maximum log lines per second for failed attempts."""
 
 _FAILURE_BY_CERTAINTY = {
     verdict.Certainty.NOT_RUN: node_frames.Failure.NOT_RUN,
@@ -42,42 +43,63 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Job:
-    """A query under way."""
+    """A query in progress."""
 
     origin: str
+    """Incarnation of the front that sent it."""
     query: node_frames.GatherQuery
+    """The query as received."""
     reply: Callable[[node_frames.GatherParts], None]
+    """Sends a message to the front."""
     call: target_calls.TargetCall
+    """The request as it is sent to every target."""
     running: dict[int, Callable[[], bool]] = dataclasses.field(default_factory=dict)
+    """Cancels the call in progress, by position of the shard."""
     waiting: list[int] = dataclasses.field(default_factory=list)
+    """Positions of the shards that wait for a free slot."""
     poll_timer: Any = None
+    """Timer of the next check for free slots; unused if the job waits in the queue."""
     ready: list[parts.Part] = dataclasses.field(default_factory=list)
+    """Results that have not been sent yet."""
     failed: dict[int, node_frames.Failure] = dataclasses.field(default_factory=dict)
+    """Failures that have not been sent yet, by position of the shard."""
     broken: dict[int, str] = dataclasses.field(default_factory=dict)
+    """Targets that disconnected without an answer, to be sent with the failures."""
     is_merging: bool = True
+    """Whether the results of the first message are merged."""
     flush_timer: Any = None
+    """Timer of the next message with results."""
     timeout: Any = None
+    """Timer of the query's deadline."""
     is_flushed: bool = False
+    """Whether the flush time has passed."""
     claim: fair_shares.Claim | None = None
-    """Its place where room is shared between workspaces; None where everybody looks for itself."""
+    """Decides the order in the queue if workspaces share the slots; None if every query polls."""
     leave_queue: Callable[[], None] = lambda: None
+    """Leaves the queue for free slots."""
     has_broken_off: bool = False
+    """Whether a target disconnected without an answer."""
     has_answer: bool = False
+    """Whether a target ran the request and answered, even with an error."""
     first: tuple[bytes, ...] | None = None
+    """Records of the merged result that was sent first; None before that."""
 
     @property
     def is_paused(self) -> bool:
-        """Whether targets broke off and none has answered: the query may be what ends them."""
+        """Whether no more targets are queried, since the query may be crashing them.
+
+        This is so while targets have disconnected without an answer and none has answered.
+        """
         return self.has_broken_off and not self.has_answer
 
     @property
     def is_open(self) -> bool:
-        """Whether a shard is still at work, or waits for room."""
+        """Whether a call is in progress or a shard waits for a free slot."""
         return bool(self.running or self.waiting)
 
 
 class Gatherer:
-    """Queries of other instances that this one works on."""
+    """Runs queries for the fronts of other instances."""
 
     def __init__(
         self,
@@ -87,13 +109,13 @@
         calls: target_calls.TargetCalls,
         without: Collection[mechanisms.Mechanism] = (),
     ) -> None:
-        """Start without queries.
+        """Create a gatherer without queries.
 
         Args:
             reactor: Twisted's reactor.
-            hall: Data hall whose targets are asked.
-            book: The targets.
-            calls: Sends requests.
+            hall: Data hall whose targets are queried.
+            book: The known targets.
+            calls: Sends requests to targets.
             without: Mechanisms that are switched off.
         """
         self._merges = mechanisms.Mechanism.MERGE not in without
@@ -108,16 +130,16 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no query is under way."""
+        """Whether no query is in progress."""
         return not self._jobs
 
     def end_all(self) -> int:
-        """Hand every query back with what is in, because the process ends.
+        """End all queries with the results received so far, because the process is shutting down.
 
-        Without it fronts lost what had been gathered, with the link.
+        Otherwise fronts would lose the collected results together with the link.
 
         Returns:
-            How many there were.
+            Number of queries that were ended.
         """
         keys = list(self._jobs)
         for key in keys:
@@ -130,12 +152,12 @@
         query: node_frames.GatherQuery,
         reply: Callable[[node_frames.GatherParts], None],
     ) -> None:
-        """Ask the targets of a query's shards.
+        """Start a query by calling a target of each shard.
 
         Args:
-            origin: Incarnation of the front that asks.
+            origin: Incarnation of the front that sent the query.
             query: The query.
-            reply: Takes parts, each shard at most once.
+            reply: Sends results and failures to the front, for each shard at most once.
         """
         now = self._reactor.seconds()
         call = target_calls.TargetCall(
@@ -161,7 +183,7 @@
             self._close(key)
 
     def _claim(self, query: node_frames.GatherQuery, now: float) -> fair_shares.Claim:
-        """Tell what decides about a query's place among those that wait for room."""
+        """Return what decides a query's place in the queue for free slots."""
         usual = max(map(self._book.service_time, query.services))
         return fair_shares.Claim(
             query.workspace,
@@ -172,20 +194,20 @@
         )
 
     def _must_yield(self, job: _Job, service: str) -> bool:
-        """Say whether others that wait for a service go before a job."""
+        """Return whether a queued job goes before this one at a service."""
         return job.claim is not None and self._queue.is_behind(job.claim, (service,))
 
     def _start_shard(
         self, key: tuple[str, int], job: _Job, shard: int, now: float, is_its_turn: bool = False
     ) -> None:
-        """Ask a target of a shard; wait for room until the front looks at what is late.
+        """Call a target of a shard, or wait for a free slot until the flush time.
 
         Args:
             key: Key of the job.
             job: The job.
             shard: Position of the shard.
-            now: The present, in seconds.
-            is_its_turn: Whether those that go before it have looked for room already.
+            now: Current time in seconds.
+            is_its_turn: Whether the jobs ahead in the queue have already been tried.
         """
         service = job.query.services[shard]
         state = None
@@ -218,7 +240,7 @@
             job.poll_timer = self._reactor.callLater(SLOT_POLL_SECONDS, poll)
 
     def _on_poll(self, key: tuple[str, int]) -> None:
-        """Look for room for the shards that wait for it."""
+        """Retry the shards that wait for a free slot."""
         job = self._jobs[key]
         now = self._reactor.seconds()
         waiting, job.waiting = job.waiting, []
@@ -231,11 +253,11 @@
             self._send(job)
 
     def on_cancel(self, origin: str, cancel: node_frames.GatherCancel) -> None:
-        """Give up shards that the front has no more use for.
+        """Cancel shards that the front no longer needs.
 
         Args:
             origin: Incarnation of the front.
-            cancel: Which ones.
+            cancel: The query and the positions of its shards; all of them if it names none.
         """
         key = (origin, cancel.number)
         job = self._jobs.get(key)
@@ -252,10 +274,10 @@
             self._finish(key)
 
     def on_origin_lost(self, origin: str) -> None:
-        """Give up all queries of a front whose link is gone.
+        """Abort all queries of a front whose link is closed.
 
         Args:
-            origin: Its incarnation.
+            origin: Incarnation of the front.
         """
         for key in [key for key in self._jobs if key[0] == origin]:
             self._abort(key)
@@ -310,12 +332,12 @@
         self._send(job)
 
     def _finish(self, key: tuple[str, int]) -> None:
-        """Send what is in; nothing more will come."""
+        """Send what is left and close the query."""
         self._send(self._jobs[key])
         self._close(key)
 
     def _send(self, job: _Job) -> None:
-        """Send what has not travelled yet; before the flush only failures."""
+        """Send pending results and failures; only failures before the flush time."""
         is_due = job.is_flushed or not job.is_open
         ready = job.ready if is_due else []
         if not ready and not job.failed:
@@ -344,9 +366,10 @@
         )
 
     def _finish_early(self, key: tuple[str, int]) -> None:
-        """Stop all work on a query, and send what is in and what became of the rest.
+        """Cancel the calls of a query and send its results so far, with the state of the rest.
 
-        A front that hears nothing of a query by its deadline can't say that it did not run.
+        A front that receives no report by its deadline cannot tell its caller that the request did
+        not run.
         """
         job = self._jobs[key]
         for shard, stop in job.running.items():
@@ -375,10 +398,11 @@
 
 
 def _floor(job: _Job) -> bytes:
-    """Tell the least record that can still be in the answer, by what the front has already.
+    """Return the lowest record that can still be in the answer, given what the front has.
 
-    Only the floor of the query and the first part count: a front uses that one or none of the
-    query, while it may have no use for a later part.
+    Only the floor of the query and the first, merged result count. A front that rejects the merged
+    result drops the whole query, but it may reject a later result alone, so the records of a later
+    result must not raise the floor.
     """
     if job.first is None or len(job.first) < job.query.top:
         return job.query.floor
--- a/src/lineworks/forwarding/outcome.py
+++ b/src/lineworks/forwarding/outcome.py
@@ -1,4 +1,4 @@
-"""How a forwarded request ended, and what its caller is told."""
+"""The outcome of a forwarded request and the response sent to its caller."""
 
 from __future__ import annotations
 
@@ -13,68 +13,69 @@
     from lineworks.decisions import routes
 
 RETRY_AFTER = 0.25
-"""Seconds after which a caller may ask again: a replica's pause is over, or a restart is known."""
+"""Seconds after which a caller may retry: by then a replica's backoff is over or its
+restart is known."""
 
 NOT_READY_RETRY_AFTER = 1.0
-"""Seconds after which a caller may ask an instance again that knows neither configuration nor
-targets: its store does not answer, which rarely ends within a fraction of a second, and callers ask
-only once or twice more. They wait for a third of the time that they have left at most."""
+"""Seconds after which a caller may retry at an instance that has neither a configuration nor
+targets. Its store does not respond, which rarely ends within a fraction of a second, and callers
+retry only once or twice. They wait for at most a third of their remaining time."""
 
 SHUTDOWN_RETRY_AFTER = 0.0
-"""Seconds after which a caller may ask again when this process ends first: another instance takes
-its next connection."""
+"""Seconds after which a caller may retry when this process shuts down. It may do so at once,
+because another instance accepts its next connection."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """The end of a forwarded request."""
+    """The outcome of a forwarded request."""
 
     answer: server_connection.Answer
-    """What the caller gets."""
+    """The response to the caller."""
 
     verdict: verdict.Verdict
-    """What is known of the request."""
+    """Whether the request ran, and why."""
 
     attempts: int = 0
-    """Attempts that were handed to targets or gatherers."""
+    """Number of attempts handed over to targets or gatherers."""
 
     covered: int = 0
-    """Shards that are in, of a search."""
+    """Number of shards in the result of a search."""
 
     total: int = 0
-    """Shards of a search."""
+    """Number of shards of a search."""
 
     hedges: int = 0
-    """Attempts among them that were made beside slow ones."""
+    """Number of hedges among the attempts."""
 
     missing: tuple[str, ...] = ()
-    """For each shard that is not in, its service and what it waited for."""
+    """For each missing shard, its service and why it is missing."""
 
     failures: tuple[str, ...] = ()
-    """Attempts that failed, each with its target or service and why."""
+    """For each failed attempt, its target or service and the reason."""
 
     over_limit: tuple[str, ...] = ()
-    """What more targets may have run than the route allows: each service with its attempts."""
+    """For each service that may have run the request on too many targets, its attempts."""
 
     broken: tuple[str, ...] = ()
-    """Targets whose connections ended before any byte of an answer."""
+    """Targets whose connections closed before the first byte of an answer."""
 
     is_answered: bool = False
-    """Whether any target ran the request and answered."""
+    """Whether a target ran the request and answered."""
 
     target: str = ""
-    """The target that answered, or the last one tried."""
+    """The target that answered, or else the last one tried."""
 
 
 def no_target(route: routes.Route, detail: str) -> verdict.Verdict:
-    """Say that no target can be asked for a request.
+    """Create the verdict for a request that no target can take.
 
     Args:
-        route: Its route.
-        detail: What keeps the targets from being asked.
+        route: The route of the request.
+        detail: Why no target can take it.
 
     Returns:
-        The verdict, which names the home regions where they are the reason or a part of it.
+        The verdict. It names the home regions if the route is restricted to them.
     """
     if not route.homes:
         return verdict.not_run(verdict.Reason.NO_REPLICA, detail)
@@ -83,17 +84,17 @@
 
 
 def refuse(found: verdict.Verdict, attempts: int = 0, retry_after: float | None = None) -> Outcome:
-    """Make the outcome of a request that ends without a target's answer.
+    """Create the outcome of a request that ends without a target's answer.
 
     Args:
-        found: What is known of it. Only one that has not run becomes a refusal that callers take
-            as a promise.
-        attempts: Attempts that were made.
-        retry_after: Seconds after which the caller may ask again, where they are known.
+        found: The verdict. Callers take a refusal as a guarantee that the request did not run, so
+            only a request that certainly did not run is refused.
+        attempts: Number of attempts made.
+        retry_after: Seconds after which the caller may retry; None for the default.
 
     Returns:
-        401 for an unknown key, 429 for one over a quota, 503 for any other that has not run, 504
-        at the deadline, 502 otherwise.
+        Status 401 for an unknown key, 429 for an exceeded quota, 503 for any other request that
+        did not run, 504 at the deadline, and 502 otherwise.
     """
     if found.reason is verdict.Reason.UNKNOWN_KEY:
         return Outcome(server_connection.Answer(401, [headers.CHALLENGE]), found, attempts)
--- a/src/lineworks/forwarding/request_log.py
+++ b/src/lineworks/forwarding/request_log.py
@@ -1,6 +1,7 @@
-"""One log line for each request that did not go well, and some for those that did.
+"""Logs every request that failed or was degraded, and a sample of the others.
 
-Lines are bounded by kind with a token bucket; once a second the number of lines left out is told.
+Each kind of line is rate-limited by a token bucket. The number of suppressed lines is logged once
+per second.
 """
 
 from __future__ import annotations
@@ -16,36 +17,38 @@
     from lineworks.http1 import server_connection
 
 PROBLEM_LINES_PER_SECOND = 40.0
-"""Lines a second for requests that failed, were refused, late or answered in part."""
+"""Maximum lines per second for requests that failed, were refused, were late or returned partial
+results."""
 
 MAX_LISTED = 6
-"""Missing shards, and failed attempts, that a line names at most."""
+"""Maximum number of entries in each list of a line, such as missing shards or failed attempts."""
 
 NORMAL_LINES_PER_SECOND = 0.5
-"""Lines a second for all others: enough to compare with."""
+"""Maximum lines per second for all other requests, as a sample for comparison."""
 
 OVER_LIMIT_LINES_PER_SECOND = 20.0
-"""Lines a second for requests that more targets may have run than their route allows. None is due,
-so they have a rate of their own: other lines must not crowd them out."""
-
+"""Maximum lines per second for requests that may have run on more targets than their route allows.
+None are expected, so they have a limit of their own: other lines must not crowd them out."""
 
 CUT_LINES_PER_SECOND = 100.0
-"""Lines a second for requests that the end of the process cut, and for answers that did not leave
-it. None is due, and all come at one moment: the burst holds what a process has under way."""
+"""Maximum lines per second for requests that the shutdown of the process interrupted, and for
+answers that were not delivered. None are expected, but all would come at the same moment, so the
+burst allowance covers the requests that a process has in progress."""
 
 BROKE_OFF_LINES_PER_SECOND = 20.0
-"""Lines a second for requests under which targets broke off; also when a host takes all with it."""
+"""Maximum lines per second for requests during which targets disconnected without an answer. This
+also happens when a host fails with all its targets."""
 
 
 class RequestLog:
     """Logs and counts the requests of one front."""
 
     def __init__(self, reactor: Any, counts: metrics.RequestMetrics) -> None:
-        """Start with full buckets.
+        """Create a log with full token buckets.
 
         Args:
             reactor: Twisted's reactor.
-            counts: Counts every request.
+            counts: Metrics that count every request.
         """
         self._reactor = reactor
         self._counts = counts
@@ -61,7 +64,7 @@
 
     @property
     def left_out(self) -> int:
-        """Lines left out since the start."""
+        """Number of lines suppressed since the process started."""
         logs = (self._problems, self._normal, self._over_limit, self._broke_off, self._cut)
         return sum(log.suppressed_total for log in logs)
 
@@ -76,17 +79,17 @@
         content: str = "",
         workspace: workspaces.Workspace | None = None,
     ) -> None:
-        """Note the end of a request.
+        """Log and count the end of a request.
 
         Args:
             request: The request.
-            attempt: Identity of the caller's try.
+            attempt: Identifier of the caller's try.
             route: The route, if one was found.
-            version: Version of the configuration that it ran under; 0 for none.
-            found: How it ended.
-            view_age: Age of what is known of the targets, in seconds.
-            content: Fingerprint of what was asked.
-            workspace: On whose behalf it came, if that is known.
+            version: Configuration version under which the request ran; 0 for none.
+            found: The outcome.
+            view_age: Age of the information about targets, in seconds.
+            content: Fingerprint of the request's content.
+            workspace: The workspace that the request belongs to, if known.
         """
         seconds = self._reactor.seconds() - request.arrived
         is_late = route is not None and seconds > route.aim
@@ -141,14 +144,14 @@
         known: verdict.Verdict,
         workspace: workspaces.Workspace | None = None,
     ) -> None:
-        """Note that this process ended with a request under way; its caller got no answer.
+        """Log and count a request whose caller got no answer because this process shut down.
 
         Args:
             request: The request.
-            attempt: Identity of the caller's try.
+            attempt: Identifier of the caller's try.
             route: The route.
-            known: What is known of it.
-            workspace: On whose behalf it came, if that is known.
+            known: The verdict on the request at that time.
+            workspace: The workspace that the request belongs to, if known.
         """
         self._counts.on_cut(route, _workspace_name(workspace))
         seconds = self._reactor.seconds() - request.arrived
@@ -163,7 +166,7 @@
         )
 
     def on_undelivered(self, request: server_connection.Request) -> None:
-        """Note that a connection was lost before its answer had left this process.
+        """Log that a connection was lost before the answer had left this process.
 
         Args:
             request: The request.
@@ -181,13 +184,13 @@
         route: routes.Route,
         workspace: workspaces.Workspace | None = None,
     ) -> None:
-        """Note that a caller left before its answer.
+        """Log and count a request whose caller disconnected before the answer.
 
         Args:
             request: The request.
-            attempt: Identity of the caller's try.
+            attempt: Identifier of the caller's try.
             route: The route.
-            workspace: On whose behalf it came, if that is known.
+            workspace: The workspace that the request belongs to, if known.
         """
         self._counts.on_caller_gone(route, _workspace_name(workspace))
         seconds = self._reactor.seconds() - request.arrived
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -1,9 +1,10 @@
-"""One search: its shards, the attempts at them, and the answer that becomes of the parts.
+"""Coordinates one search: fans it out to shards, retries and hedges, and merges the results.
 
-Shards with a target in the own data hall are asked directly, the others through a gatherer in a
-hall that has most of them. Whatever is late is asked once more elsewhere, as far as the extra
-attempts last. Just before the route's aim the answer is given with the shards that are in, if
-they are enough; a later answer is worth little.
+Shards that have a target in the local data hall are queried directly. The others are queried
+through a gatherer in the hall that covers most of them. Slow shards are hedged at another target
+while the budget of extra attempts lasts. Just before the route's latency objective (`aim`), the
+search returns the shards received so far if they reach the required coverage, because a later
+answer is worth little.
 """
 
 from __future__ import annotations
@@ -31,28 +32,29 @@
     from lineworks.forwarding import caution, target_calls, target_state, tools
 
 SLOT_WAIT_SHARE = 0.2
-"""Share of the aim that a search waits for targets with room before it is refused: a refusal within
-a quarter of the aim leaves time for another try."""
+"""Share of the latency objective for which a search waits for targets with a free slot before it is
+refused. A refusal within a quarter of the objective leaves the caller time to try again."""
 
 SLOT_POLL_SECONDS = 0.01
-"""Seconds between looks for targets with room."""
+"""Seconds between checks for targets with a free slot."""
 
 RETRY_BACKOFF = 0.01
-"""Seconds before a shard is tried again when all its targets were tried or full: a third of a usual_seconds
-service time, after which a slot may be free. Doubled once."""
+"""Seconds before a shard is retried after all its targets were tried or full. This is a third of a
+typical service time, after which a slot may be free. Later backoffs are twice as long."""
 
 MAX_RETRY_BACKOFF = 0.02
-"""Seconds of such a pause at most: a target that comes back must still be of use."""
+"""Upper bound of the retry backoff, in seconds: a target that recovers must still be able to answer
+in time."""
 
 RETRY_CUTOFF_SECONDS = 2 * search_attempts.FLUSH_MARGIN
-"""Seconds before the deadline from which on no failure is answered by another attempt: gatherers
-tell then what they know, and what ran and what did not is judged at the deadline."""
+"""Seconds before the deadline from which failed attempts are no longer retried. Gatherers send
+their final reports in this period, and the deadline handler decides from them what ran."""
 
 _OVERLAP = verdict.ran(verdict.Reason.FAILED, "merged with a shard that was in already")
 
 
 class Search:
-    """One search under way."""
+    """A search in progress."""
 
     def __init__(
         self,
@@ -64,15 +66,15 @@
         arrived: float,
         on_end: Callable[[outcome.Outcome], None],
     ) -> None:
-        """Make a search; nothing is sent yet.
+        """Create a search without sending anything.
 
         Args:
-            shared: What the front's requests share.
-            route: The route, with one version's set of shards.
-            call: The request as every target gets it.
-            crash_guard: How carefully it goes on.
-            due: When its answer must leave to be in time, in seconds.
-            arrived: When the request's first byte was read, in seconds.
+            shared: State shared by all requests of the front.
+            route: The route, with the set of shards of one configuration version.
+            call: The request as it is sent to every target.
+            crash_guard: Limits retries and hedges while the request may be crashing its targets.
+            due: Time by which the answer must be sent to meet the latency objective, in seconds.
+            arrived: Time at which the first byte of the request was read, in seconds.
             on_end: Called once with the outcome, unless the search is cancelled.
         """
         self._shared = shared
@@ -115,7 +117,7 @@
         self._leave_queue: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        """Send the first attempts."""
+        """Start the search, or queue it behind requests that go first."""
         shared = self._shared
         now = shared.reactor.seconds()
         for shard in self._shards:
@@ -127,7 +129,10 @@
             self._begin()
 
     def _begin(self) -> None:
-        """Send the first attempts once enough shards have a target with room, or refuse."""
+        """Send the first attempts if enough shards have a target with a free slot.
+
+        Otherwise the search waits or is refused.
+        """
         if self._on_end is None:
             return
         shared = self._shared
@@ -161,9 +166,10 @@
     def _begin_trial(
         self, chosen: Mapping[int, target_state.TargetState | None], now: float
     ) -> None:
-        """Send a suspect to one target; the rest follows when that one has answered.
+        """Send a request that is suspected of crashing targets to a single target.
 
-        Without it each try of such a search ended a target of every shard.
+        The other shards follow once that target has answered. Without this, each try of such a
+        search crashed one target of every shard.
         """
         for index, state in chosen.items():
             if state is not None:
@@ -171,14 +177,18 @@
                 return
 
     def _on_trial_end(self, found: verdict.Verdict) -> None:
-        """Go on after the target of a trial failed: elsewhere if it didn't run, else not at all."""
+        """Retry a failed trial if the target did not run the request; otherwise end the search."""
         if self._crash_guard.holds or not found.is_not_run:
             self._finish_incomplete()
         else:
             self._set_timer(SLOT_POLL_SECONDS, self._begin)
 
     def _wait_or_refuse(self, open_shards: int, now: float) -> None:
-        """Wait a little for targets with room; a search that can't succeed loads no target."""
+        """Wait briefly for free slots, or refuse the search.
+
+        Nothing is sent until enough shards can be queried, so a search that cannot succeed puts no
+        load on targets.
+        """
         reachable = sum(1 for shard in self._shards if self._has_known_target(shard))
         line = self._shared.line
         is_off = mechanisms.Mechanism.ROOM_WAIT in self._shared.without
@@ -190,13 +200,13 @@
         if not self._attempts.count:
             line.note_refused(self._call.workspace)
         detail = f"{open_shards} of {len(self._shards)} shards have a target with room"
-        # The target of a trial may have run it.
+        # The target of a trial may have run the request.
         certainty = self._coverage_verdict().certainty
         found = dataclasses.replace(outcome.no_target(self._route, detail), certainty=certainty)
         self._finish_with_error(found, line.retry_after(outcome.RETRY_AFTER))
 
     def _wait_for_slots(self) -> None:
-        """Look again soon: in its turn where room is shared between workspaces."""
+        """Schedule another attempt to begin, in queue order if workspaces share the slots."""
         line = self._shared.line
         if line.is_fair:
             self._leave_queue = line.wait(self._claim, self._route.shards, self._begin)
@@ -207,12 +217,15 @@
         return self._shared.book.has_any(shard.service, self._route.homes)
 
     def known(self) -> verdict.Verdict:
-        """Tell what is known of the search while it is under way."""
+        """Return the verdict for a search that the shutdown of this process interrupts."""
         found = self._coverage_verdict()
         return dataclasses.replace(found, reason=verdict.Reason.LEAVING)
 
     def end(self) -> None:
-        """Answer with what is in, because the process ends."""
+        """End the search because the process is shutting down.
+
+        Returns the results received so far if they reach the required coverage, else an error.
+        """
         if self._on_end is None:
             return
         if len(self._parts.covered) >= self._needed:
@@ -224,7 +237,7 @@
             )
 
     def cancel(self) -> None:
-        """Give the search up, because its caller has gone."""
+        """Cancel the search because its caller has disconnected."""
         self._on_end = None
         self._crash_guard.finish()
         self._stop()
@@ -235,13 +248,13 @@
     def _dispatch(
         self, chosen: Mapping[int, target_state.TargetState | None], is_hedge: bool
     ) -> None:
-        """Send attempts at shards, those for one other hall together.
+        """Send attempts for shards, grouping those that go to the same remote hall.
 
-        Hedges have been paid for; any other attempt after one that was sent is paid for here.
+        Hedges have already been charged to the budget of extra attempts. Retries are charged here.
 
         Args:
-            chosen: Positions of the shards, each with the target that should answer first.
-            is_hedge: Whether they are second attempts beside slow ones.
+            chosen: The target expected to answer first, by position of the shard.
+            is_hedge: Whether the attempts are hedges.
         """
         now = self._shared.reactor.seconds()
         self._shared.calls.notice_silence(now)
@@ -254,13 +267,13 @@
             elif shard.sent and not is_hedge and not self._spend_retry(shard, now):
                 self._on_budget_exhausted(index)
             elif shard.was_sent_to(state.id):
-                # A gatherer might choose another target, one more than the route allows.
+                # A gatherer might choose a different target and so exceed the route's limit.
                 self._attempts.send_to_target(index, state, now, is_hedge)
             elif state.hall == self._shared.hall:
                 local[index] = state
             else:
                 remote.append(index)
-        # The longest ways first: calls in the own hall keep the processor busy.
+        # Remote halls first: sending the local calls takes CPU time and would delay them.
         if remote:
             self._attempts.send_to_halls(remote, now, is_hedge)
         if local:
@@ -278,14 +291,14 @@
         return self._choose_target(shard, self._shared.reactor.seconds())
 
     def _add_part(self, part: parts.Part, done: Iterable[search_state.ShardAttempt]) -> bool:
-        """Use a part, and stop the other attempts at its shards.
+        """Add a partial result, and cancel the other attempts at its shards.
 
         Args:
-            part: The part.
-            done: The attempts that brought it.
+            part: The partial result.
+            done: The attempts that delivered it.
 
         Returns:
-            Whether it is in.
+            Whether the partial result was accepted.
         """
         if self._on_end is None:
             return False
@@ -305,19 +318,19 @@
         return is_used
 
     def _on_failure(self, index: int, found: verdict.Verdict) -> None:
-        """Deal with an attempt that failed: try elsewhere, or wait for another one."""
+        """Handle a failed attempt: retry, defer, or leave it to an attempt still running."""
         if self._on_end is None:
             return
         shard = self._shards[index]
         self._failures.append(f"{shard.service} {found.reason.value}: {found.detail}")
         if self._shared.reactor.seconds() + RETRY_CUTOFF_SECONDS >= self._call.deadline:
-            # Too late for another attempt, and others are about to tell what became of theirs.
+            # Too late for another attempt; gatherers are about to send their final reports.
             return
         if self._crash_guard.is_trial:
             self._on_trial_end(found)
             return
         if not self._hedges.is_started:
-            # The target of a trial answered with a failure, so the request is no suspect.
+            # The trial target answered, if only with an error, so the request is not crashing it.
             self._begin()
             return
         self._retry_deferred()
@@ -327,7 +340,7 @@
         if self._crash_guard.holds:
             self._defer(index)
             return
-        # The targets that had it failed just now, so they are not asked again.
+        # Targets that have run the request failed just now, so they are not asked again.
         is_left = attempts.has_target_left(shard.all_attempts, self._route.max_attempts)
         if shard.sent >= search_hedges.MAX_SENT_ATTEMPTS or not is_left:
             self._give_up(index)
@@ -337,16 +350,16 @@
         self._finish_if_done()
 
     def _defer(self, index: int) -> None:
-        """Put a shard off until a target has answered: the request may be what ends its targets.
+        """Defer a shard until a target has answered, since the request may be crashing targets.
 
-        Repeats and hedges ended the other copy of the shards that a fatal search had lost.
+        Retries and hedges of such a search crashed the second replica of each shard as well.
         """
         self._shards[index].is_waiting = True
         self._deferred.append(index)
         self._finish_if_stuck()
 
     def _finish_if_stuck(self) -> None:
-        """End a search whose targets broke off when none is left that could still answer."""
+        """End the search if targets disconnected and no running attempt could still answer."""
         is_running = any(shard.running for shard in self._shards)
         if (
             self._on_end is not None
@@ -357,7 +370,7 @@
             self._finish_incomplete()
 
     def _retry_deferred(self) -> None:
-        """Try again the shards that were put off, because a target has answered."""
+        """Retry the deferred shards once a target has answered."""
         if not self._deferred or self._crash_guard.holds:
             return
         deferred, self._deferred = self._deferred, []
@@ -365,7 +378,7 @@
             self._on_retry(index)
 
     def _on_unreachable(self, index: int) -> None:
-        """Deal with a shard that no target is left for: begin anew after a pause, or give up."""
+        """Handle a shard without an eligible target: retry all after a backoff, or give up."""
         shard = self._shards[index]
         if shard.running or shard.is_waiting:
             return
@@ -380,7 +393,7 @@
             self._give_up(index)
 
     def _give_up(self, index: int) -> None:
-        """Try nothing more for a shard."""
+        """Mark a shard as given up, so that nothing more is sent for it."""
         self._shards[index].is_given_up = True
         self._given_up.add(index)
 
@@ -396,7 +409,7 @@
         self._finish_if_done()
 
     def _on_budget_exhausted(self, index: int) -> None:
-        """Ask for an extra attempt, or give the shard up when there is none."""
+        """Request an extra attempt for a shard, or give the shard up after too many requests."""
         shard = self._shards[index]
         if shard.running or shard.is_waiting:
             return
@@ -409,7 +422,7 @@
             self._give_up(index)
 
     def _on_hedge(self) -> None:
-        """Ask once more for the shards that are late."""
+        """Hedge the slow shards, and schedule the next check."""
         if self._on_end is None:
             return
         now = self._shared.reactor.seconds()
@@ -422,7 +435,7 @@
         self._finish_if_done()
 
     def _on_budget_reply(self) -> None:
-        """Choose again, because extra attempts that were lacking may have come."""
+        """Choose hedges again, because extra attempts may have been granted."""
         if self._on_end is None or self._crash_guard.holds:
             return
         self._send_hedges(self._shared.reactor.seconds())
@@ -453,13 +466,13 @@
         self._finish_incomplete(verdict.Reason.DEADLINE)
 
     def _finish_if_done(self) -> None:
-        """Answer as soon as waiting any longer brings nothing."""
+        """End the search as soon as waiting longer cannot improve its result."""
         if self._on_end is None:
             return
         covered = len(self._parts.covered)
         is_enough = covered >= self._needed
-        # Counted by what was given up, which is little: a look at all shards for each part would
-        # grow with the square of their number.
+        # Counted from the few shards that were given up: a scan of all shards for each partial
+        # result would make the total work quadratic in the number of shards.
         given_up = len(self._given_up - self._parts.covered) if self._given_up else 0
         open_shards = len(self._shards) - covered - given_up
         if not self._parts.missing or (is_enough and (self._is_aim_reached or not open_shards)):
@@ -483,10 +496,10 @@
         self._end(outcome.Outcome(answer, verdict.OK, self._attempts.count))
 
     def _finish_incomplete(self, reason: verdict.Reason = verdict.Reason.COVERAGE) -> None:
-        """End without an answer, because too few shards are in.
+        """End with an error because too few shards were received.
 
-        Calls that still wait for their connections are given up first: they have reached nobody,
-        so a search of which no target has seen anything certainly did not run.
+        Calls that still wait for a connection are cancelled first. They have reached no target, so
+        a search whose calls are all of this kind is reported as certainly not run.
         """
         self._attempts.cancel_direct_attempts()
         self._finish_with_error(dataclasses.replace(self._coverage_verdict(), reason=reason))
@@ -518,7 +531,7 @@
             on_end(described)
 
     def _stop(self) -> None:
-        """Cancel all timers and attempts."""
+        """Cancel all timers and attempts, and leave the waiting queue."""
         for timer in self._timers:
             if timer.active():
                 timer.cancel()
--- a/src/lineworks/forwarding/search_attempts.py
+++ b/src/lineworks/forwarding/search_attempts.py
@@ -1,6 +1,6 @@
-"""The attempts of one search: sends them, and takes in what comes back.
+"""Sends the attempts of one search and processes their responses.
 
-What to send, and what a failure means, is decided by `lineworks.forwarding.search`.
+`lineworks.forwarding.search` decides which shards to query and how to react to failures.
 """
 
 from __future__ import annotations
@@ -27,20 +27,21 @@
     from lineworks.forwarding import caution, tools
 
 FLUSH_MARGIN = 0.004
-"""Seconds that a gatherer's first parts should be here before the hedges are decided, and its last
+"""Seconds by which a gatherer's first results should arrive before hedges are chosen, and its last
 message before the deadline."""
 
 SINGLE_HALL_SLOWDOWN_SHARE = 0.3
-"""Share of the aim that a first attempt may be slower by when that saves asking one more hall,
-which would send as many records again. Weighed in docs/design/platform.md."""
+"""Share of the latency objective by which a first attempt may be slower if that avoids querying one
+more hall. Each further hall sends as many records again. See docs/design/platform.md for the
+trade-off."""
 
 FULL_TARGET_BACKOFF = 0.02
-"""Seconds for which a target is remaining alone that a gatherer could not reach or had no room for: a
-round trip between regions, after which either may have changed."""
+"""Seconds for which a target is avoided after a gatherer could not reach it or found no free slot.
+This is one round trip between regions, after which either condition may have changed."""
 
 
 class SearchAttempts:
-    """Attempts under round_trip, at targets and through gatherers."""
+    """The attempts of a search, sent directly to targets and through gatherers."""
 
     def __init__(
         self,
@@ -53,17 +54,18 @@
         add_part: Callable[[parts.Part, Iterable[search_state.ShardAttempt]], bool],
         on_failure: Callable[[int, verdict.Verdict], None],
     ) -> None:
-        """Start with nothing sent.
+        """Create the object without sending anything.
 
         Args:
-            shared: What the front's requests share.
+            shared: State shared by all requests of the front.
             route: The route.
-            call: The request as every target gets it.
-            crash_guard: Takes note of answers and of targets that break off.
-            shards: The search's shards.
-            floor: Tells the least record that can still change the answer.
-            add_part: Takes a part with the attempts that brought it, and says whether it is in.
-            on_failure: Takes the position of a shard whose attempt failed, and why.
+            call: The request as it is sent to every target.
+            crash_guard: Records answers and targets that disconnected without one.
+            shards: The shards of the search.
+            floor: Returns the lowest record that can still change the result.
+            add_part: Takes a partial result with the attempts that delivered it, and returns
+                whether it was accepted.
+            on_failure: Called with the position of a shard whose attempt failed, and the verdict.
         """
         self._shared = shared
         self._route = route
@@ -76,19 +78,19 @@
         self._queries: dict[int, list[search_state.ShardAttempt]] = {}
         self._is_stopped = False
         self.count = 0
-        """Attempts made so far."""
+        """Number of attempts made so far."""
         self.hedge_at = 0.0
-        """When attempts through gatherers are looked at, in seconds."""
+        """Time at which attempts through gatherers are checked for hedging, in seconds."""
         self.due = 0.0
-        """When the answer must leave to be in time, in seconds."""
+        """Time by which the answer must be sent to meet the latency objective, in seconds."""
 
     def send_to_halls(self, indices: list[int], now: float, is_hedge: bool) -> None:
-        """Send attempts to as few other halls as will do, the best covered first.
+        """Send attempts to as few halls as possible, starting with the one that covers most shards.
 
         Args:
-            indices: Positions of shards that have a target to ask.
-            now: The present, in seconds.
-            is_hedge: Whether they are second attempts beside slow ones.
+            indices: Positions of shards that have an eligible target.
+            now: Current time in seconds.
+            is_hedge: Whether the attempts are hedges.
         """
         slack = target_book.GOOD_SECONDS
         if not is_hedge and mechanisms.Mechanism.ONE_HALL not in self._shared.without:
@@ -107,7 +109,7 @@
                     hall = state.hall
                     by_hall.setdefault(hall, {})[index] = state
                     slowest[hall] = max(seconds, slowest.get(hall, 0.0))
-            # Most shards first, then the hall whose slowest target is soonest.
+            # Prefer the hall with most shards, then the one whose slowest target is fastest.
             hall = max(by_hall, key=lambda name: (len(by_hall[name]), -slowest[name]))
             chosen = by_hall[hall]
             self._send_to_hall(hall, chosen, now, is_hedge)
@@ -131,12 +133,12 @@
     def send_to_local_hall(
         self, chosen: dict[int, target_state.TargetState], now: float, is_hedge: bool
     ) -> None:
-        """Send attempts to targets of the own hall; peers there take a part of many.
+        """Send attempts to targets of the local hall, sharing large batches with peers there.
 
         Args:
-            chosen: Positions of shards, each with its target.
-            now: The present, in seconds.
-            is_hedge: Whether they are second attempts beside slow ones.
+            chosen: The target of each shard, by position of the shard.
+            now: Current time in seconds.
+            is_hedge: Whether the attempts are hedges.
         """
         hall = self._shared.hall
         gatherers = self._shared.gatherers
@@ -145,7 +147,7 @@
         if len(chosen) > work_split.MOST_TOGETHER or (is_large and gatherers.has_faster(hall)):
             peers = gatherers.ranked(hall)
         count = self._piece_count(len(chosen), len(peers) + 1, is_hedge)
-        # Its own piece last: the messages leave before the processor is busy with calls.
+        # The local share comes last, so that messages to peers leave before the calls use the CPU.
         helpers: list[str | None] = [*peers[: count - 1], None]
         if count == 1 and is_large and peers and gatherers.is_faster(peers[0]):
             helpers = [peers[0]]
@@ -159,7 +161,7 @@
         now: float,
         is_hedge: bool,
     ) -> None:
-        """Divide shards among gatherers of a hall; None stands for this instance."""
+        """Divide shards among gatherers of a hall by their rates; None stands for this instance."""
         gatherers = self._shared.gatherers
         rates = [gatherers.own_rate if name is None else gatherers.rate(name) for name in helpers]
         pieces = gather_rate.divide(list(chosen.items()), rates)
@@ -180,7 +182,7 @@
         now: float,
         is_hedge: bool,
     ) -> None:
-        """Ask through a gatherer, or directly where there is none."""
+        """Send attempts through a gatherer, or directly if that is not possible."""
         if peer is None or not self._send_to_gatherer(peer, hall, chosen, now, is_hedge):
             for index, state in chosen.items():
                 self.send_to_target(index, state, now, is_hedge)
@@ -197,7 +199,7 @@
         round_trip = shared.book.ways.round_trip(hall)
         deadline = self._call.deadline - round_trip - FLUSH_MARGIN
         if deadline <= now:
-            # Its last message would come too late, and what became of the query would not be known.
+            # The final report would arrive after the deadline, so the outcome would be unknown.
             return False
         without_floor = mechanisms.Mechanism.HEDGE_FLOOR in shared.without
         number = shared.gatherers.next_number()
@@ -234,13 +236,13 @@
     def send_to_target(
         self, index: int, state: target_state.TargetState, now: float, is_hedge: bool
     ) -> None:
-        """Send an attempt straight to a target.
+        """Send an attempt directly to a target.
 
         Args:
             index: Position of the shard.
             state: The target.
-            now: The present, in seconds.
-            is_hedge: Whether it is a second attempt beside a slow one.
+            now: Current time in seconds.
+            is_hedge: Whether the attempt is a hedge.
         """
         attempt = self._add_attempt(index, state, now, is_hedge)
         on_end = functools.partial(self._on_call_end, attempt)
@@ -259,7 +261,7 @@
         return attempt
 
     def _on_call_end(self, attempt: search_state.ShardAttempt, end: target_calls.CallEnd) -> None:
-        """Take in the answer of a target that was asked directly."""
+        """Process the end of a direct call to a target."""
         shard = self._shards[attempt.shard]
         shard.running.remove(attempt)
         attempt.end = end.verdict
@@ -276,14 +278,14 @@
         self._add_part(parts.Part(frozenset((attempt.shard,)), (stamp,), top), (attempt,))
 
     def _on_parts(self, number: int, frame: node_frames.GatherParts) -> None:
-        """Take in what a gatherer sent."""
+        """Process the results and failures in a message from a gatherer."""
         query_attempts = self._queries.get(number)
         if query_attempts is None or self._is_stopped:
             return
         now = self._shared.reactor.seconds()
         found = []
         for part, arrived in search_state.read_parts(query_attempts, frame):
-            done = [one for one in arrived if one in self._shards[one.shard].running]
+            done = [item for item in arrived if item in self._shards[item.shard].running]
             for attempt in done:
                 self._shards[attempt.shard].running.remove(attempt)
                 attempt.end = verdict.OK
@@ -308,7 +310,11 @@
         done: Sequence[search_state.ShardAttempt],
         is_merged: bool,
     ) -> None:
-        """Use a part; a query's later parts are of no use without the merged one before them."""
+        """Add a partial result, and drop the query if its merged result was rejected.
+
+        Later results of the query omit records that cannot rank beside the merged one, so they are
+        useless without it.
+        """
         if self._is_stopped:
             return
         is_used = bool(done) and self._add_part(part, done)
@@ -316,11 +322,11 @@
             self._drop_query(number)
 
     def _note_remote_answer(self, attempt: search_state.ShardAttempt, now: float) -> None:
-        """Learn how long a target took that a gatherer asked."""
+        """Record the response time of a target that was called by a gatherer."""
         book = self._shared.book
         seconds = now - attempt.started - book.ways.round_trip(attempt.state.hall)
-        # Parts wait at the gatherer for the slowest of their query, so only a target that is
-        # later than the first parts is known to be slow.
+        # A gatherer holds results until the slowest of the query arrives or the query is flushed,
+        # so only a target that misses the first message is known to be slow.
         usual = book.service_time(attempt.state.replica.target.service)
         is_first = now <= self.hedge_at + FLUSH_MARGIN
         book.note_answer(attempt.state, now, min(seconds, usual) if is_first and usual else seconds)
@@ -333,7 +339,7 @@
         broken: str,
         now: float,
     ) -> None:
-        """Take in a failure at a gatherer, with the target that broke off if one did."""
+        """Process a failure reported by a gatherer, and the target that disconnected, if any."""
         shard = self._shards[attempt.shard]
         if attempt not in shard.running:
             return
@@ -350,7 +356,7 @@
         self._on_failure(attempt.shard, attempt.end)
 
     def _refund_unsent(self, shard: search_state.Shard) -> None:
-        """Note that an attempt reached no target; another one in its place is not an extra one."""
+        """Stop counting an attempt that reached no target, so that its retry is not charged."""
         if mechanisms.Mechanism.FREE_RETRIES not in self._shared.without:
             shard.sent -= 1
 
@@ -371,7 +377,7 @@
         self._shared.record_answer(self._route.name, is_remote, attempt.started, attempt.is_hedge)
 
     def _drop_query(self, number: int) -> None:
-        """Give up the rest of a query whose first part can't be used: later ones build on it."""
+        """Cancel the rest of a query whose first, merged result could not be used."""
         if number in self._queries:
             self._shared.gatherers.close(number, (0,))
             self._on_gatherer_lost(number)
@@ -383,7 +389,7 @@
                 self._shared.book.note_given_up(attempt.state, now, now - attempt.started)
 
     def cancel_shard(self, shard: search_state.Shard) -> None:
-        """Cancel the attempts at a shard that is in.
+        """Cancel the remaining attempts at a shard whose result was received.
 
         Args:
             shard: The shard.
@@ -411,14 +417,14 @@
         self._shared.gatherers.close(number, None)
 
     def cancel_direct_attempts(self) -> None:
-        """Cancel the attempts that went straight to targets, and note which reached none."""
+        """Cancel direct calls to targets, and record which of them reached no target."""
         for shard in self._shards:
             for attempt in shard.running:
                 attempts.give_up(attempt)
-            shard.running = [one for one in shard.running if one.query]
+            shard.running = [attempt for attempt in shard.running if attempt.query]
 
     def stop(self) -> None:
-        """Cancel all attempts; nothing is reported any more."""
+        """Cancel all attempts and stop reporting results and failures."""
         self._is_stopped = True
         self.cancel_direct_attempts()
         for number, query_attempts in self._queries.items():
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -1,4 +1,4 @@
-"""Second attempts at the late shards of one search: when, where, and whether they are worth it."""
+"""Decides when and where to hedge the slow shards of one search, and whether it is worthwhile."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
     from lineworks.forwarding import target_state, tools
 
 MAX_SENT_ATTEMPTS = 5
-"""Attempts at one shard that reach a target. Those that reach none cost it nothing, and pauses keep
-them rare."""
+"""Maximum number of attempts per shard that reach a target. Attempts that reach none put no load on
+targets, and backoffs keep them rare."""
 
 RECHECK_SECONDS = 0.02
-"""Seconds after which shards that could not be hedged are looked at again."""
+"""Seconds after which shards that could not be hedged are checked again."""
 
 MAX_RECHECKS = 4
-"""Looks at late shards after the first."""
+"""Maximum number of regular checks of slow shards after the first one."""
 
 INCOMPLETE_RECHECK_SECONDS = 0.1
-"""Seconds between looks at the late shards of a search that has too few parts to be answered. While
-two instances of a hall were frozen, a search ended at its deadline of two seconds because the extra
-attempts had been used up when it asked for them."""
+"""Seconds between checks of slow shards while a search lacks the required coverage. Checks go on
+until the deadline: while two instances of a hall were frozen, a search failed at its deadline of
+two seconds because no extra attempts were left at the time when it requested them."""
 
 HEDGE_ROUNDS_BEFORE_AIM = 2.0
-"""Hedges, one after the other, that should still be in time for the answer."""
+"""Number of consecutive hedges that should still fit before the answer is due."""
 
 MAX_HEDGE_DELAY_SHARE = 0.5
-"""Share of the aim after which a hedge is sent in any case."""
+"""Share of the latency objective after which a slow attempt is hedged at the latest."""
 
 TIMER_TOLERANCE = 0.001
-"""Seconds that a timer may fire early by the rounding of clocks."""
+"""Seconds by which a timer may fire early because of clock rounding."""
 
 
 class SearchHedges:
-    """The hedges of one search."""
+    """Chooses the hedges of one search."""
 
     def __init__(
         self,
@@ -49,14 +49,14 @@
         received: parts.PartSet,
         workspace: str = "",
     ) -> None:
-        """Start with nothing due.
+        """Create the object; `start` computes the hedge delays.
 
         Args:
-            shared: What the front's requests share.
+            shared: State shared by all requests of the front.
             route: The route.
-            shards: The search's shards.
-            received: The parts that are in.
-            workspace: Workspace that it is for; empty for none.
+            shards: The shards of the search.
+            received: The partial results received so far.
+            workspace: Workspace of the request; empty for none.
         """
         self._shared = shared
         self._route = route
@@ -70,20 +70,20 @@
         self._without_budget: list[str] = []
         self._is_incomplete = False
         self.local_delay = 0.0
-        """Seconds after which an attempt in the own hall is late."""
+        """Seconds after which an attempt in the local hall is hedged."""
         self.remote_delay = 0.0
-        """Seconds after which an attempt in another hall is late."""
+        """Seconds after which a remote attempt, or one through a gatherer, is hedged."""
         self.count = 0
-        """Hedges chosen so far."""
+        """Number of hedges chosen so far."""
         self.is_started = False
-        """Whether the shards have been asked."""
+        """Whether the search has begun to query all shards, after any trial."""
 
     def start(self, now: float, aim_at: float) -> None:
-        """Decide when attempts that are sent now are late.
+        """Compute the hedge delays for attempts that are sent now.
 
         Args:
-            now: The present, in seconds.
-            aim_at: When the answer is due.
+            now: Current time in seconds.
+            aim_at: Time at which the answer is due, in seconds.
         """
         self.is_started = True
         self._started_at = now
@@ -92,13 +92,13 @@
         self.remote_delay = self._delay(True)
 
     def choose(self, now: float) -> dict[int, target_state.TargetState]:
-        """Choose hedges for the shards that are late, and pay for them.
+        """Choose hedges for slow shards, and charge them to the budget of extra attempts.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            Positions of shards, each with the target to ask.
+            The target of each hedge, by position of the shard.
         """
         chosen: dict[int, target_state.TargetState] = {}
         self._without_budget.clear()
@@ -112,10 +112,10 @@
         return chosen
 
     def request_budget(self, on_reply: Callable[[], None]) -> None:
-        """Ask for the extra attempts that were lacking at the last choice, if any were.
+        """Request the extra attempts that were missing when hedges were last chosen, if any.
 
         Args:
-            on_reply: Called when they may have come, so that the search chooses again.
+            on_reply: Called when attempts may have been granted, so that the search chooses again.
         """
         unfunded, self._without_budget = self._without_budget, []
         if not unfunded:
@@ -126,28 +126,29 @@
         self._shared.keeper.ask(unfunded, True, on_reply)
 
     def next_check(self, now: float) -> float | None:
-        """Tell when to look again.
+        """Return when slow shards are to be checked again.
 
         Args:
-            now: The present, in seconds.
+            now: Current time in seconds.
 
         Returns:
-            Seconds from now, or None when another look is planned already or there were enough.
+            Seconds from now, or None if another check is already scheduled or no more are needed.
         """
         if now < self._started_at + self.remote_delay - TIMER_TOLERANCE:
             return None
         if self._rechecks < MAX_RECHECKS:
             self._rechecks += 1
             return RECHECK_SECONDS
-        # Without more parts there is no answer at all, so it asks on until its deadline.
+        # Without more results there is no answer at all, so checks go on until the deadline.
         self._is_incomplete = len(self._received.covered) < self._needed
         return INCOMPLETE_RECHECK_SECONDS if self._is_incomplete else None
 
     def _delay(self, is_remote: bool) -> float:
-        """Tell after how long an attempt is hedged: late, but with time for two more.
+        """Return the delay after which an attempt is hedged, which leaves time for two hedges.
 
-        Waiting longer than a usual answer takes costs nothing while a hedge, and another try after
-        it, still come before the answer is due; and most slow attempts end by themselves.
+        Waiting longer than a typical response time costs nothing as long as a hedge, and one more
+        attempt after it, can still finish before the answer is due. Most slow attempts finish by
+        themselves in that time.
         """
         hedge_seconds = self._shared.book.usual_answer(shard.service for shard in self._shards)
         left = self._aim_at - self._started_at
@@ -157,28 +158,32 @@
         return max(self._usual_delay(is_remote), latest)
 
     def _usual_delay(self, is_remote: bool) -> float:
-        """Tell after how long an attempt counts as late, whatever time is left."""
+        """Return the delay after which an attempt counts as slow, whatever time is left."""
         return self._shared.hedges.delay(self._route.name, is_remote, self._route.aim)
 
     def _is_due(self, shard: search_state.Shard, now: float) -> bool:
         if len(shard.running) != 1 or shard.sent >= MAX_SENT_ATTEMPTS:
             return False
         attempt = shard.running[0]
-        # A gatherer keeps the parts of its targets together until then, also in the own hall.
+        # A gatherer, in the local hall too, holds results until the remote delay is over.
         is_remote = attempt.is_remote(self._shared.hall)
         delay = self.remote_delay if is_remote else self.local_delay
         if attempt.started > self._started_at:
-            # An earlier attempt failed, so less time is left than the delay counts on.
+            # An earlier attempt failed, so less time is left than the extended delay assumes.
             delay = min(delay, self._usual_delay(is_remote))
         return now >= attempt.started + delay - TIMER_TOLERANCE
 
     def _hedge(self, shard: search_state.Shard, now: float) -> target_state.TargetState | None:
-        """Choose the target of a hedge, if it could be in time and an attempt is left for it."""
+        """Choose the target of a hedge and charge it to the budget.
+
+        Returns None if no target is eligible, the hedge would come too late, or no extra attempt is
+        left.
+        """
         book = self._shared.book
         max_targets = self._route.max_attempts
         state = shard.choose(book, self._route, now)
         if state is None:
-            # A target that failed, or had no room, may do by now.
+            # A target that failed or was full may be usable by now.
             shard.tried = {attempt.state.id for attempt in shard.running}
             state = shard.choose(book, self._route, now)
         if state is None:
--- a/src/lineworks/forwarding/search_state.py
+++ b/src/lineworks/forwarding/search_state.py
@@ -1,4 +1,4 @@
-"""The state of a search's shards and attempts, and how what a gatherer sent is read."""
+"""State of the shards and attempts of a search, and decoding of gatherers' messages."""
 
 from __future__ import annotations
 
@@ -19,115 +19,115 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class ShardAttempt(attempts.Attempt):
-    """One attempt at one shard."""
+    """An attempt to query one shard."""
 
     shard: int = 0
-    """Position of the shard in the search."""
+    """Index of the shard in the search."""
 
     query: int = 0
-    """Number of the gatherer's query; 0 for none."""
+    """Number of the query sent to a gatherer; 0 if the target was called directly."""
 
     position: int = 0
-    """Position of the shard in that query."""
+    """Index of the shard in that query."""
 
     @property
     def is_direct(self) -> bool:
-        """Whether it went straight to its target, and not through a gatherer."""
+        """Whether the target was called directly and not through a gatherer."""
         return not self.query
 
 
 class NotHedged(enum.Enum):
-    """Why a shard that is late was not asked a second time."""
+    """Reason why a missing shard was not hedged."""
 
     NOT_DUE = "not due"
-    """Its attempt was not late yet when the search ended, or had failed."""
+    """The attempt was not slow enough yet when the search ended, or it had failed."""
 
     NO_TARGET = "no other target with room"
-    """Its other targets are unknown, leaving, resting or full."""
+    """The other targets are unknown, shutting down, backing off or full."""
 
     LIMIT = "as many targets as the route allows"
-    """As many targets as the route allows ran it or may run it yet."""
+    """As many targets as the route allows ran the query or may still run it."""
 
     TOO_LATE = "too late to help"
-    """The answer was due before another target could have answered."""
+    """The search's answer was due before another target could have responded."""
 
     NO_BUDGET = "no extra attempt left"
-    """The service's extra attempts were used up."""
+    """The budget of extra attempts for the service was exhausted."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Shard:
-    """One shard."""
+    """State of one shard of a search."""
 
     service: str
-    """The service that it is."""
+    """Name of the service that serves the shard."""
 
     all_attempts: list[ShardAttempt] = dataclasses.field(default_factory=list)
-    """All attempts, in the order in which they were sent."""
+    """All attempts so far, in the order in which they were sent."""
 
     running: list[ShardAttempt] = dataclasses.field(default_factory=list)
-    """Attempts under way."""
+    """Attempts in progress."""
 
     tried: set[str] = dataclasses.field(default_factory=set)
-    """Identities of targets asked since all of them were last allowed again."""
+    """Identifiers of the targets tried since the set was last reset."""
 
     backoffs: int = 0
-    """Pauses taken, because no target was left to ask."""
+    """Number of backoffs taken because no eligible target was left."""
 
     sent: int = 0
-    """Attempts that reached a target, as far as is known."""
+    """Number of attempts, without those known to have reached no target."""
 
     budget_requests: int = 0
-    """Times that an extra attempt was asked for."""
+    """Number of times that an extra attempt was requested for the shard."""
 
     is_hedged: bool = False
     """Whether a hedge was sent."""
 
     not_hedged: NotHedged = NotHedged.NOT_DUE
-    """Why no hedge was sent at the last look."""
+    """Why no hedge was sent when the shard was last checked."""
 
     is_waiting: bool = False
-    """Whether it waits to be tried again."""
+    """Whether the shard waits for a retry."""
 
     is_given_up: bool = False
-    """Whether nothing more is tried."""
+    """Whether no further attempt will be made."""
 
     def choose(
         self, book: target_book.TargetBook, route: routes.Route, now: float
     ) -> target_state.TargetState | None:
-        """Choose the target of another attempt, among those not tried lately.
+        """Choose the target for another attempt, excluding those in `tried`.
 
         Args:
-            book: The targets.
-            route: The search's route.
-            now: The present, in seconds.
+            book: The known targets.
+            route: The route of the search.
+            now: Current time in seconds.
 
         Returns:
-            The target, or None when none may be asked now.
+            The target, or None if no target is eligible now.
         """
         return attempts.choose_target(book, route, self.service, now, self.all_attempts, self.tried)
 
     def was_sent_to(self, target: str) -> bool:
-        """Say whether a target was asked directly.
+        """Return whether an earlier direct call to a target ran the query or may still run it.
 
         Args:
-            target: Its identity.
+            target: Identifier of the target.
 
         Returns:
-            Whether it ran the shard or may run it yet.
+            Whether there is such a call.
         """
         return bool(self.all_attempts) and target in attempts.known_targets(self.all_attempts)
 
 
 def over_limit(shards: Iterable[Shard], max_targets: int) -> tuple[str, ...]:
-    """Tell of the shards that more targets may have run than the route allows.
+    """Describe the shards that may have run on more targets than the route allows.
 
     Args:
-        shards: The search's shards.
-        max_targets: Targets that the route allows.
+        shards: The shards of the search.
+        max_targets: Maximum number of targets per shard.
 
     Returns:
-        For each of them its service, with the end of every attempt.
+        One entry per such shard: its service and the outcome of every attempt.
     """
     return tuple(
         attempts.describe(shard.service, shard.all_attempts)
@@ -137,13 +137,13 @@
 
 
 def describe_missing(shard: Shard) -> str:
-    """Tell what a shard that is not in waited for.
+    """Describe why a shard is missing from the result.
 
     Args:
         shard: The shard.
 
     Returns:
-        Its service with one clause for people.
+        Its service and a short explanation for operators.
     """
     if shard.running:
         state = "waiting for " + "+".join(attempt.state.id for attempt in shard.running)
@@ -161,14 +161,14 @@
 def read_parts(
     query_attempts: Sequence[ShardAttempt], frame: node_frames.GatherParts
 ) -> list[tuple[parts.Part, list[ShardAttempt]]]:
-    """Read what a gatherer has of the shards of a query.
+    """Decode the partial results in a gatherer's message.
 
     Args:
-        query_attempts: The query's attempts, by position.
-        frame: What the gatherer sent; positions that the query does not have are passed over.
+        query_attempts: The attempts of the query, by position.
+        frame: The message; positions outside the query are ignored.
 
     Returns:
-        Each part with the attempts that brought it: one part if the shards are merged.
+        Each partial result with the attempts that delivered it. Merged shards form a single one.
     """
     records = parts.split_records(frame.records)
     rows = list(zip(frame.shards, frame.stamps, strict=True))
@@ -190,13 +190,13 @@
 
 
 def remote_verdict(failure: node_frames.Failure) -> verdict.Verdict:
-    """Say what a gatherer's failure means for the shard.
+    """Translate a failure reported by a gatherer into a verdict.
 
     Args:
-        failure: Why the gatherer has no part of it.
+        failure: Why the gatherer has no result for the shard.
 
     Returns:
-        The verdict of the attempt.
+        The verdict on the attempt.
     """
     if failure is node_frames.Failure.NOT_SENT:
         return verdict.not_run(verdict.Reason.UNREACHABLE, "no target of the hall has room")
