--- a/src/lineworks/forwarding/search_attempts.py
+++ b/src/lineworks/forwarding/search_attempts.py
@@ -109,7 +109,7 @@
                     hall = state.hall
                     by_hall.setdefault(hall, {})[index] = state
                     slowest[hall] = max(seconds, slowest.get(hall, 0.0))
-            # Prefer the hall with most shards, then the one whose slowest target is fastest.
+            # Prefer the hall with most shards, then the one whose slowest target is expected first.
             hall = max(by_hall, key=lambda name: (len(by_hall[name]), -slowest[name]))
             chosen = by_hall[hall]
             self._send_to_hall(hall, chosen, now, is_hedge)
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -103,8 +103,8 @@
         chosen: dict[int, target_state.TargetState] = {}
         self._without_budget.clear()
         for index, shard in enumerate(self._shards):
-            if index not in self._received.covered and self._is_due(shard, now):
-                state = self._hedge(shard, now)
+            if index not in self._received.covered and self._is_hedge_due(shard, now):
+                state = self._choose_hedge(shard, now)
                 if state is not None:
                     chosen[index] = state
         self.count += len(chosen)
@@ -117,13 +117,13 @@
         Args:
             on_reply: Called when attempts may have been granted, so that the search chooses again.
         """
-        unfunded, self._without_budget = self._without_budget, []
-        if not unfunded:
+        services, self._without_budget = self._without_budget, []
+        if not services:
             return
         for shard in self._shards:
-            if shard.service in unfunded:
+            if shard.service in services:
                 shard.budget_requests += 1
-        self._shared.keeper.ask(unfunded, True, on_reply)
+        self._shared.keeper.ask(services, True, on_reply)
 
     def next_check(self, now: float) -> float | None:
         """Return when slow shards are to be checked again.
@@ -161,7 +161,7 @@
         """Return the delay after which an attempt counts as slow, whatever time is left."""
         return self._shared.hedges.delay(self._route.name, is_remote, self._route.aim)
 
-    def _is_due(self, shard: search_state.Shard, now: float) -> bool:
+    def _is_hedge_due(self, shard: search_state.Shard, now: float) -> bool:
         if len(shard.running) != 1 or shard.sent >= MAX_SENT_ATTEMPTS:
             return False
         attempt = shard.running[0]
@@ -173,7 +173,9 @@
             delay = min(delay, self._usual_delay(is_remote))
         return now >= attempt.started + delay - TIMER_TOLERANCE
 
-    def _hedge(self, shard: search_state.Shard, now: float) -> target_state.TargetState | None:
+    def _choose_hedge(
+        self, shard: search_state.Shard, now: float
+    ) -> target_state.TargetState | None:
         """Choose the target of a hedge and charge it to the budget.
 
         Returns None if no target is eligible, the hedge would come too late, or no extra attempt is
--- a/tests/test_attempt_limit.py
+++ b/tests/test_attempt_limit.py
@@ -1,17 +1,8 @@
-"""No try of a caller runs on more targets than its route allows, for each shard of a search.
+"""Tests that no try of a caller runs on more targets than its route allows, per shard of a search.
 
-While some targets answered 500 at once, searches ran on three targets of one shard where their
-route allows two. An attempt that had failed was no longer counted, so a shard was asked again after
-a failure and hedged beside that, or asked a third time after two failures. What settled it were the
-attempts of such shards as the front had kept them:
-
-    "limit": 2, "attempts": ["hufi75w: i-db247e2424 failed a target of the hall failed,
-    i-7b4a4bdcb6 failed a target of the hall failed, i-9de8a84d63 ok"]
-    "limit": 2, "attempts": ["dami2i: i-55bcd98d84 failed a target of the hall failed,
-    i-57fc18ca98 ok, i-0089fa67c3 (hedge) cancelled given up"]
-
-Twelve lines of this kind in two seconds each held a target that had failed, and the targets' own
-books told the same number of requests.
+Failed attempts were not counted towards the limit. While some targets answered 500 at once, a shard
+was retried after a failure and then also hedged, or retried again after two failures, and so ran on
+three targets where the route allows two.
 """
 
 from __future__ import annotations
@@ -25,12 +16,12 @@
 from lineworks.standins import deployment
 from tests import test_forwarding
 
-AT_ONCE = 0.001
-"""Seconds after which a target that fails does so."""
+FAILURE_SECONDS = 0.001
+"""Seconds after which a failing target responds."""
 
 
 def build(most=2):
-    """Make a deployment with a target of each shard and three of the shelf in every hall."""
+    """Create a deployment with a target of each shard in every hall, and three of the shelf."""
     world = test_forwarding.build()
     for shard in test_forwarding.SHARDS:
         for hall in deployment.HALLS:
@@ -39,7 +30,7 @@
     routes = (test_forwarding.SEARCH, test_forwarding.READ, test_forwarding.BILL)
     world.configure([{**route, "MaxAttempts": most} for route in routes])
     world.run(3.0)
-    # Earlier requests, from which extra attempts are allowed.
+    # Earlier requests earn a budget of extra attempts.
     for _ in range(50):
         world.ask("akl-1", "/search/q")
         world.ask("akl-1", "/read/q")
@@ -49,25 +40,25 @@
 
 def fail(target):
     target.faults.status = 500
-    target.work = lambda: AT_ONCE
+    target.work = lambda: FAILURE_SECONDS
 
 
 def nearest_first(world, service):
-    """List the targets of a service, that of the callers' data hall first."""
+    """List the targets of a service, starting with the one in the callers' data hall."""
     return sorted(
         test_forwarding.targets_of(world, service), key=lambda target: target.hall != "akl"
     )
 
 
 def ran_on(world, attempt, service):
-    """List the targets of a service that ran a try."""
+    """Return the names of the targets of a service that ran a caller's try."""
     return {
         run.target for run in world.runs_of(attempt) if world.targets[run.target].service == service
     }
 
 
 @pytest.mark.parametrize("most", [1, 2, 3])
-def test_a_shard_whose_targets_fail_is_asked_no_more_often_than_the_route_allows(most):
+def test_a_failing_shard_runs_on_no_more_targets_than_the_route_allows(most):
     world = build(most)
     for target in test_forwarding.targets_of(world, "s00"):
         fail(target)
@@ -77,7 +68,7 @@
     assert test_forwarding.check_search(world, reply, "q1") == 1
 
 
-def test_a_shard_that_failed_once_is_not_hedged_beside_its_second_attempt():
+def test_the_retry_of_a_failed_shard_is_not_hedged():
     world = build()
     near, *others = nearest_first(world, "s00")
     fail(near)
@@ -90,7 +81,7 @@
     assert reply.status == 200
 
 
-def test_a_hedge_that_fails_is_not_replaced_while_the_first_attempt_is_slow():
+def test_a_failed_hedge_is_not_replaced_while_the_first_attempt_runs():
     world = build()
     near, *others = nearest_first(world, "s00")
     near.work = lambda: 5.0
@@ -103,7 +94,7 @@
 
 
 @pytest.mark.parametrize("most", [1, 2, 3])
-def test_a_read_whose_targets_fail_is_sent_no_more_often_than_the_route_allows(most):
+def test_a_failing_read_runs_on_no_more_targets_than_the_route_allows(most):
     world = build(most)
     world.add_target("shelf", "akl")
     world.run(1.0)
@@ -115,7 +106,7 @@
     assert reply.status == 500
 
 
-def test_a_read_that_failed_once_is_not_hedged_beside_its_second_attempt():
+def test_the_retry_of_a_failed_read_is_not_hedged():
     world = build()
     near, *others = nearest_first(world, "shelf")
     fail(near)
@@ -127,7 +118,7 @@
     assert len(ran_on(world, "q1", "shelf")) == 2
 
 
-def test_targets_that_refuse_do_not_use_up_the_attempts():
+def test_refusals_do_not_count_against_the_limit():
     world = build()
     first, second, third = test_forwarding.targets_of(world, "s00")
     for target in (first, second):
@@ -138,8 +129,8 @@
     assert test_forwarding.check_search(world, reply, "q1") == 0
 
 
-def deal_faults(world, rng):
-    """Give each target a new state: most are well, the others fail, hang, refuse or break off."""
+def assign_faults(world, rng):
+    """Reset each target, then make some fail, slow down, hang, refuse or lose answers."""
     for target in world.targets.values():
         target.faults.status = 200
         target.faults.sheds = target.faults.loses_answers = False
@@ -158,13 +149,13 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_mix_of_faults_makes_a_try_run_on_more_targets_than_allowed(seed):
+def test_no_mix_of_faults_exceeds_the_limit(seed):
     rng = random.Random(seed)
     most = 1 + seed % 3
     world = build(most)
     tries = []
     for _ in range(12):
-        deal_faults(world, rng)
+        assign_faults(world, rng)
         for name in world.nodes:
             for path in ("/search/q", "/read/q", "/bill/q"):
                 tries.append(f"{path[1]}{len(tries)}")
@@ -186,8 +177,8 @@
         self.id = name
 
 
-def made(*rows):
-    """Make attempts: each a target's name, its end, and the query that it went through, if any."""
+def make_attempts(*rows):
+    """Create attempts from rows of target name, verdict and gatherer query (0 for direct calls)."""
     return [
         search_state.ShardAttempt(_Target(name), 0.0, end=end, query=query)
         for name, end, query in rows
@@ -201,16 +192,16 @@
 @pytest.mark.parametrize(
     ("attempts_made", "expected"),
     [
-        (made(), 0),
-        (made(("a", FAILED, 0), ("b", None, 0)), 2),
-        (made(("a", REFUSED, 0), ("b", None, 0)), 1),
-        (made(("a", FAILED, 0), ("a", None, 0)), 1),
-        # The gatherer of the second query may have chosen another target.
-        (made(("a", FAILED, 7), ("a", None, 8)), 2),
-        (made(("a", attempts.GIVEN_UP, 7), ("b", verdict.OK, 0)), 2),
+        (make_attempts(), 0),
+        (make_attempts(("a", FAILED, 0), ("b", None, 0)), 2),
+        (make_attempts(("a", REFUSED, 0), ("b", None, 0)), 1),
+        (make_attempts(("a", FAILED, 0), ("a", None, 0)), 1),
+        # The gatherer of the second query may have chosen a different target.
+        (make_attempts(("a", FAILED, 7), ("a", None, 8)), 2),
+        (make_attempts(("a", attempts.GIVEN_UP, 7), ("b", verdict.OK, 0)), 2),
     ],
 )
-def test_each_target_that_may_have_run_a_try_counts_once(attempts_made, expected):
+def test_each_target_that_may_have_run_the_request_counts_once(attempts_made, expected):
     assert attempts.count_targets(attempts_made) == expected
     assert attempts.has_target_left(attempts_made, expected + 1)
     assert not attempts.has_target_left(attempts_made, expected)
@@ -218,6 +209,6 @@
     assert attempts.is_over(attempts_made, expected - 1)
 
 
-def test_people_are_told_what_became_of_each_attempt():
-    told = attempts.describe("s00", made(("a", FAILED, 0), ("b", attempts.GIVEN_UP, 7)))
+def test_the_description_names_the_outcome_of_each_attempt():
+    told = attempts.describe("s00", make_attempts(("a", FAILED, 0), ("b", attempts.GIVEN_UP, 7)))
     assert told == "s00: a failed, b cancelled given up"
--- a/tests/test_gatherers.py
+++ b/tests/test_gatherers.py
@@ -1,4 +1,4 @@
-"""The front's view of gatherers: what happens when a link is lost."""
+"""Tests of the gatherer client: what happens when a link is lost."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Links:
-    """Links that are up and swallow what is sent."""
+    """Links that accept every frame and discard it."""
 
     def __init__(self):
         self.up = {}
@@ -27,7 +27,7 @@
     return node_frames.GatherQuery(number, ("s",), b"", b"", b"a", 5, b"", 2.0, 1.0)
 
 
-def test_a_search_that_ends_with_its_first_lost_query_may_close_the_others():
+def test_a_search_that_ends_on_a_lost_query_may_close_its_other_queries():
     links = Links()
     asked = gatherers.GathererClient(fakes.VirtualClock(), links, random.Random(1))
     lost = []
--- a/tests/test_gathering.py
+++ b/tests/test_gathering.py
@@ -1,4 +1,4 @@
-"""The gatherer: what travels when, and which records may be left out."""
+"""Tests of the gatherer: when results are sent, and which records may be omitted."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Calls:
-    """Takes calls; the test ends them."""
+    """Records calls to targets, which the test completes."""
 
     def __init__(self):
         self.open = {}
@@ -36,8 +36,10 @@
 
 
 class Case:
+    """A gatherer with a query in progress."""
+
     def __init__(
-        self, shards=3, top=2, floor=b"", missing=(), flush_at=0.05, stalled_beside="", full=()
+        self, shards=3, top=2, floor=b"", missing=(), flush_at=0.05, sibling_hall="", full=()
     ):
         self.clock = task.Clock()
         self.calls = Calls()
@@ -49,16 +51,16 @@
             for name in services
             if name not in missing
         ]
-        if stalled_beside:
+        if sibling_hall:
             entries.append(
                 target_view.TargetEntry(
-                    "i-far", "s0", stalled_beside, "10.0.0.2", 80, 2, False, False
+                    "i-far", "s0", sibling_hall, "10.0.0.2", 80, 2, False, False
                 )
             )
         states = book.update(
             entries, {name: routes.ServiceSpec(name, 25) for name in services}
         ).added
-        if stalled_beside:
+        if sibling_hall:
             states[0].replica.suspect_until = 1.0
         self.states = {state.replica.target.service: state for state in states}
         for name in full:
@@ -70,27 +72,27 @@
         )
         self.gatherer.on_query("front-1", query, self.sent.append)
 
-    def make_room(self, service):
+    def free_slot(self, service):
         self.states[service].replica.in_flight -= 1
 
 
-def rows(frame):
+def letters_of(frame):
     return "".join(chr(record[0]) for record in parts.split_records(frame.records))
 
 
-def test_nothing_travels_before_the_flush_unless_all_is_in():
+def test_results_are_sent_at_the_flush_time_or_when_complete():
     case = Case()
     case.calls.answer("s0", "ab")
     case.calls.answer("s1", "c")
     assert case.sent == []
     case.calls.answer("s2", "d")
     assert len(case.sent) == 1
-    assert rows(case.sent[0]) == "dc"
+    assert letters_of(case.sent[0]) == "dc"
     assert sorted(case.sent[0].stamps) == ["stamp-s0", "stamp-s1", "stamp-s2"]
     assert case.gatherer.is_idle
 
 
-def test_the_flush_sends_what_is_in_and_later_parts_follow_soon():
+def test_flush_sends_received_results_and_late_ones_follow_shortly():
     case = Case()
     case.calls.answer("s0", "ab")
     case.clock.advance(0.05)
@@ -101,9 +103,9 @@
     assert [frame.shards for frame in case.sent] == [(0,), (1,)]
 
 
-def test_late_parts_are_not_merged_so_that_each_is_of_use_without_the_others():
-    # Found on quiet-1 of convivio-sul: a merged late part was dropped whole and all its shards were
-    # asked again, because a hedge had brought one of them.
+def test_late_results_are_not_merged():
+    # A merged late result was discarded as a whole, and all its shards were queried again, because
+    # a hedge had already delivered one of them.
     case = Case(shards=4)
     case.calls.answer("s0", "ab")
     case.clock.advance(0.05)
@@ -113,12 +115,12 @@
     case.calls.answer("s3", "f")
     assert [frame.shards for frame in case.sent] == [(0,), (1, 2), (3,)]
     assert [frame.counts for frame in case.sent] == [(), (1, 2), (1,)]
-    assert [rows(frame) for frame in case.sent] == ["ba", "ced", "f"]
+    assert [letters_of(frame) for frame in case.sent] == ["ba", "ced", "f"]
 
 
-def test_parts_of_hedges_are_never_merged():
-    # Found on trouble-1 of convivio-sul: a hedge's target had answered, its part was merged with
-    # that of a shard that had come in meanwhile, and a third target was asked.
+def test_results_of_hedges_are_not_merged():
+    # The result of a hedge was merged with that of a shard that the front had received meanwhile.
+    # The front discarded both and queried a third target.
     case = Case(shards=3, flush_at=0.0)
     case.clock.advance(0.0)
     case.calls.answer("s0", "ab")
@@ -127,10 +129,10 @@
     case.calls.answer("s2", "a")
     assert [frame.shards for frame in case.sent] == [(0, 1), (2,)]
     assert [frame.counts for frame in case.sent] == [(2, 1), (1,)]
-    assert [rows(frame) for frame in case.sent] == ["bac", "a"]
+    assert [letters_of(frame) for frame in case.sent] == ["bac", "a"]
 
 
-def test_parts_side_by_side_are_read_apart():
+def test_unmerged_results_are_decoded_separately():
     tries = [search_state.ShardAttempt(None, 0.0, shard=shard) for shard in (4, 5, 6)]
     records = b"".join(letter.encode() * 16 for letter in "ced")
     frame = node_frames.GatherParts(7, (2, 9, 0), ("x", "y", "z"), records, (), (), (1, 1, 1))
@@ -142,24 +144,24 @@
     assert [part.records for part, _ in found] == [(b"c" * 16,), (b"d" * 16,)]
 
 
-def test_only_the_first_part_sets_the_floor_of_later_ones():
-    # A front may have no use for a later part, so what it holds must not cut the next one.
+def test_only_the_first_result_raises_the_floor():
+    # A front may discard a later result, so its records must not raise the floor of the next one.
     case = Case(top=2)
     case.calls.answer("s0", "ab")
     case.clock.advance(0.05)
     case.calls.answer("s1", "yz")
     case.clock.advance(gathering.COALESCE_SECONDS)
     case.calls.answer("s2", "ac")
-    assert [rows(frame) for frame in case.sent] == ["ba", "zy", "ca"]
+    assert [letters_of(frame) for frame in case.sent] == ["ba", "zy", "ca"]
 
 
-def test_records_below_the_floor_are_left_out():
+def test_records_below_the_floor_are_omitted():
     case = Case(shards=1, top=3, floor=b"m" * 16)
     case.calls.answer("s0", "amz")
-    assert rows(case.sent[0]) == "zm"
+    assert letters_of(case.sent[0]) == "zm"
 
 
-def test_failures_travel_at_once():
+def test_failures_are_sent_at_once():
     case = Case(missing=("s2",))
     assert case.sent[0].failed == (2,)
     assert case.sent[0].failures == (node_frames.Failure.NOT_SENT,)
@@ -171,13 +173,13 @@
 
 
 @pytest.mark.parametrize("reason", [verdict.Reason.UNREACHABLE, verdict.Reason.CAPPED])
-def test_what_reached_no_target_is_told_apart(reason):
+def test_calls_that_reached_no_target_are_reported_as_not_sent(reason):
     case = Case(shards=1)
     case.calls.fail("s0", verdict.not_run(reason))
     assert case.sent[0].failures == (node_frames.Failure.NOT_SENT,)
 
 
-def test_a_cancelled_shard_is_stopped_and_never_travels():
+def test_cancelled_shards_are_stopped_and_not_sent():
     case = Case()
     case.calls.answer("s1", "c")
     case.gatherer.on_cancel("front-1", node_frames.GatherCancel(7, (0, 1)))
@@ -186,7 +188,7 @@
     assert [frame.shards for frame in case.sent] == [(2,)]
 
 
-def test_a_lost_front_and_a_passed_deadline_stop_everything():
+def test_a_lost_link_or_the_deadline_cancels_all_calls():
     case = Case()
     case.gatherer.on_origin_lost("front-1")
     assert sorted(case.calls.cancelled) == ["s0", "s1", "s2"]
@@ -197,21 +199,21 @@
 
 
 @pytest.mark.parametrize(("flush_at", "asked"), [(0.05, []), (0.0, ["s0"])])
-def test_a_stalled_target_is_asked_for_a_hedge_but_not_for_a_first_attempt(flush_at, asked):
-    # Found in the log of trouble-1 of convivio-sul: a hedge was told that the hall had no target
-    # with room, since the hall's target was stalled and the one that it stood beside was not.
-    case = Case(shards=1, flush_at=flush_at, stalled_beside="wlg")
+def test_a_stalled_target_is_called_for_hedges_but_not_for_first_attempts(flush_at, asked):
+    # A hedge failed with "no target of the hall has room", since the hall's only target was stalled
+    # while the target in the other hall was not.
+    case = Case(shards=1, flush_at=flush_at, sibling_hall="wlg")
     assert list(case.calls.open) == asked
     failed = [frame.failures for frame in case.sent]
     assert failed == ([] if asked else [(node_frames.Failure.NOT_SENT,)])
 
 
-def test_a_full_target_is_asked_as_soon_as_it_has_room():
+def test_a_full_target_is_called_as_soon_as_a_slot_is_free():
     case = Case(shards=2, full=["s1"])
     assert list(case.calls.open) == ["s0"]
     case.clock.advance(0.012)
     assert case.sent == []
-    case.make_room("s1")
+    case.free_slot("s1")
     case.clock.advance(gathering.SLOT_POLL_SECONDS)
     assert list(case.calls.open) == ["s0", "s1"]
     case.calls.answer("s0", "a")
@@ -220,7 +222,7 @@
     assert case.gatherer.is_idle
 
 
-def test_a_target_that_stays_full_is_reported_before_the_front_looks_at_what_is_late():
+def test_a_target_that_stays_full_is_reported_before_the_flush_time():
     case = Case(shards=2, full=["s1"])
     for _ in range(10):
         case.clock.advance(gathering.SLOT_POLL_SECONDS)
@@ -229,13 +231,13 @@
     assert case.gatherer.is_idle
 
 
-def test_a_hedge_is_told_at_once_that_its_target_is_full():
+def test_a_hedge_at_a_full_target_fails_at_once():
     case = Case(shards=1, flush_at=0.0, full=["s0"])
     assert [frame.failed for frame in case.sent] == [(0,)]
     assert case.gatherer.is_idle
 
 
-def test_a_query_that_waits_for_room_can_be_given_up():
+def test_a_query_that_waits_for_a_slot_can_be_cancelled():
     case = Case(shards=2, full=["s1"])
     case.calls.answer("s0", "a")
     assert not case.gatherer.is_idle
@@ -263,7 +265,7 @@
 
 
 @pytest.mark.parametrize(("is_fair", "expected"), [(True, b"urgent"), (False, b"patient")])
-def test_room_at_a_full_target_goes_to_the_most_urgent_query_that_waits(is_fair, expected):
+def test_with_workspaces_a_free_slot_goes_to_the_most_urgent_query(is_fair, expected):
     case = Case(shards=1, full=("s0",))
     case.gatherer.on_cancel("front-1", node_frames.GatherCancel(7))
     sent = []
@@ -271,19 +273,19 @@
     for number, (workspace, priority) in enumerate((("patient", 2), ("urgent", 0))):
         query = _later_query(number + 8, workspace, priority, is_fair)
         case.gatherer.on_query("front-1", query, case.sent.append)
-    case.make_room("s0")
-    # The stand-in for calls takes no slot, so the first one to be sent tells the order.
+    case.free_slot("s0")
+    # The stand-in for calls occupies no slot, so only the first call shows the order.
     case.clock.advance(0.006)
     assert sent[0] == expected
 
 
-def test_a_newcomer_at_a_gatherer_does_not_pass_a_more_urgent_query():
+def test_a_new_query_does_not_overtake_a_more_urgent_one():
     case = Case(shards=1, full=("s0",))
     case.gatherer.on_cancel("front-1", node_frames.GatherCancel(7))
     sent = []
     case.calls.send = lambda state, call, on_end: sent.append(call.attempt) or (lambda: False)
     case.gatherer.on_query("front-1", _later_query(8, "urgent", 0, True), case.sent.append)
-    case.make_room("s0")
+    case.free_slot("s0")
     case.gatherer.on_query("front-1", _later_query(9, "patient", 2, True), case.sent.append)
     assert sent == []
     case.clock.advance(0.006)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: bounded, never blocking, and enough to find a request's cause."""
+"""Tests of logs and metrics: bounded, non-blocking, and sufficient to diagnose a request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests import test_forwarding
 
 
-def test_a_kind_of_line_is_bounded_and_what_is_left_out_is_told():
+def test_each_kind_of_line_is_rate_limited_and_suppressed_lines_are_counted():
     clock = task.Clock()
     with capture_logs() as lines:
         log = rate_limited_log.RateLimitedLog(clock, "x", 5.0)
@@ -32,7 +32,7 @@
     assert told["count"] + len(written) == 101
 
 
-def test_a_reader_that_stopped_holds_nothing_up():
+def test_a_stalled_reader_does_not_block_the_writer():
     clock = task.Clock()
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
@@ -54,7 +54,7 @@
     assert dropped == {"event": "lines_dropped", "count": lines.dropped}
 
 
-def test_a_closed_pipe_drops_lines_and_raises_nothing():
+def test_a_closed_pipe_drops_lines_without_an_error():
     reader, writer = os.pipe()
     os.close(reader)
     lines = _node_logs.LineWriter(task.Clock(), writer)
@@ -63,7 +63,7 @@
     assert lines.dropped == 1
 
 
-def test_a_callers_words_never_break_a_line():
+def test_text_from_a_caller_cannot_start_a_new_line():
     reader, writer = os.pipe()
     lines = _node_logs.LineWriter(task.Clock(), writer)
     lines.write(json.dumps({"id": 'x"\n{"event": "forged"}', "event": "request"}))
@@ -76,7 +76,7 @@
     return [line for line in world_logs if line["event"] == event and line.get("id") == identity]
 
 
-def test_an_answer_in_part_names_the_shard_and_what_it_waited_for():
+def test_a_partial_result_logs_the_missing_shard_and_its_target():
     with capture_logs() as logs:
         world = test_forwarding.build()
         targets = test_forwarding.targets_of(world, "s03")
@@ -92,7 +92,7 @@
     assert line["view_age"] < 3
 
 
-def test_a_request_that_may_have_run_names_its_target_and_why():
+def test_a_request_that_may_have_run_logs_its_target_and_the_reason():
     with capture_logs() as logs:
         world = test_forwarding.build()
         for target in test_forwarding.targets_of(world, "shelf"):
@@ -105,7 +105,7 @@
     assert "connection lost" in line["failures"][0]
 
 
-def test_a_refused_request_says_that_it_did_not_run():
+def test_a_refused_request_is_logged_as_not_run():
     with capture_logs() as logs:
         world = test_forwarding.build()
         for target in test_forwarding.targets_of(world, "shelf"):
@@ -118,7 +118,7 @@
     assert any(line["event"] == "target_gone" for line in logs)
 
 
-def test_the_timeline_of_a_request_over_several_logs(tmp_path, capsys):
+def test_the_timeline_collects_a_request_from_several_logs(tmp_path, capsys):
     a, b = tmp_path / "a.log", tmp_path / "b.log"
     mine = {"component": "front", "event": "request", "id": "q1", "t": 5.0, "status": 502}
     a.write_text("noise\n" + json.dumps(mine) + "\n" + json.dumps({**mine, "id": "q2"}) + "\n")
@@ -134,24 +134,24 @@
     assert "no line" in capsys.readouterr().out
 
 
-def test_timelines_need_files(capsys):
+def test_the_timeline_needs_readable_files(capsys):
     assert ctl.main(["ctl", "timeline", "q1"]) == 2
     assert ctl.main(["ctl", "timeline", "q1", "nowhere.log"]) == 2
     assert "nowhere.log" in capsys.readouterr().err
 
 
-def test_lines_that_are_no_objects_are_passed_over():
+def test_lines_that_are_not_json_objects_are_skipped():
     assert list(_timeline.find("q1", "x", ['["q1"]', "q1 {", '{"id": 7}'])) == []
 
 
 def read_metrics(world, name):
-    """Ask an instance for its metrics."""
+    """Fetch the metrics of an instance."""
     reply = world.send(name, b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n", 7381)
     world.run(0.2)
     return reply.body.decode()
 
 
-def test_metrics_are_served_and_their_labels_are_bounded():
+def test_metrics_are_served_with_expected_labels():
     world = test_forwarding.build()
     world.ask("akl-1", "/search/q")
     world.run(0.5)
@@ -161,7 +161,7 @@
     assert "lineworks_store_calls" in text
 
 
-def test_metrics_tell_how_each_workspace_is_served():
+def test_metrics_count_requests_per_workspace():
     world = test_forwarding.build()
     world.workspaces = [documents.workspace("north", "k1"), documents.workspace("south", "k2")]
     world.configure([test_forwarding.READ])
@@ -177,7 +177,7 @@
     assert "unknown" not in text.replace("unknown_key", "")
 
 
-def test_metrics_name_a_bounded_number_of_workspaces():
+def test_metrics_limit_the_number_of_workspace_labels():
     counts = metrics.RequestMetrics()
     found = outcome.Outcome(server_connection.Answer(200), verdict.OK)
     for number in range(metrics.MAX_WORKSPACES + 5):
@@ -189,14 +189,14 @@
     )
 
 
-def test_without_workspaces_no_metric_tells_of_any():
+def test_there_are_no_workspace_metrics_without_workspaces():
     world = test_forwarding.build()
     world.ask("akl-1", "/read/x")
     world.run(0.5)
     assert "lineworks_workspace" not in read_metrics(world, "akl-1")
 
 
-def test_metrics_tell_the_load_of_the_process_and_what_is_left_of_the_extra_attempts():
+def test_metrics_show_the_process_load_and_the_extra_attempts_left():
     world = test_forwarding.build()
     world.ask("akl-1", "/search/q")
     world.nodes["akl-1"].lines_dropped = lambda: 3
@@ -209,7 +209,7 @@
     assert 'lineworks_uptime_seconds{kind="process"} 5.' in text
 
 
-def test_a_target_that_is_passed_over_and_its_return_have_lines():
+def test_avoided_and_returned_targets_are_logged():
     world = test_forwarding.build()
     target = test_forwarding.targets_of(world, "s01")[0]
     front = next(name for name in world.nodes if name.startswith(target.hall))
@@ -229,7 +229,7 @@
     assert returned[0]["target"] == target.name
 
 
-def test_a_hedge_has_a_line_with_both_targets():
+def test_a_hedge_is_logged_with_both_targets():
     world = test_forwarding.build()
     slow, other = test_forwarding.targets_of(world, test_forwarding.SHARDS[0])
     slow.work = lambda: 5.0
@@ -242,8 +242,8 @@
     assert found[0]["targets"] == [f"s00: {slow.name}, now {other.name}"]
 
 
-def test_lines_are_strict_json_when_nothing_was_ever_heard_from_the_store():
-    # Found in the log of a recorded day: a process that started in an outage wrote "age": Infinity.
+def test_lines_are_strict_json_if_the_store_has_never_responded():
+    # A process that started during an outage of the store wrote "age": Infinity.
     world = test_forwarding.build()
     world.server.faults.is_down = True
     with capture_logs() as lines:
--- a/tests/test_search_retries.py
+++ b/tests/test_search_retries.py
@@ -1,4 +1,4 @@
-"""Searches whose shards fail, are full or can't be reached for a while: what is tried again."""
+"""Tests of retries and hedges for shards that fail, are full or are temporarily unreachable."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from tests import test_forwarding
 
 
-def test_a_late_shard_is_hedged_at_a_target_that_had_no_room_before():
-    # Found on scale-2: of the shards left out most had one attempt that was sent, and both
-    # targets counted as tried, because the first one had no room or could not be reached.
+def test_a_slow_shard_is_hedged_at_a_target_that_was_full_before():
+    # Shards were missing after a single attempt: both of their targets counted as tried, because
+    # the first one had been full or unreachable.
     world = test_forwarding.build()
     busy, paused = test_forwarding.targets_of(world, "s00")
     busy.faults.sheds = True
@@ -22,8 +22,8 @@
     assert reply.seconds < 0.2
 
 
-def test_shards_that_cannot_be_reached_for_a_while_do_not_fail_the_search():
-    # Found on scale-2: shards were given up after 0 sent, a tenth of a second after the start.
+def test_temporarily_unreachable_shards_do_not_fail_the_search():
+    # Shards were given up without any attempt, a tenth of a second after the start.
     world = test_forwarding.build()
     hosts = []
     for shard in test_forwarding.SHARDS[:4]:
@@ -41,8 +41,8 @@
     assert reply.seconds < 1.0
 
 
-def test_a_front_learns_which_targets_of_other_halls_cannot_be_reached():
-    # Found on scale-2: every search asked for crashed targets through a gatherer first.
+def test_a_front_learns_which_remote_targets_are_unreachable():
+    # Every search first tried crashed targets through a gatherer again.
     world = test_forwarding.build()
     front = world.nodes["akl-1"]
     for shard in test_forwarding.SHARDS:
@@ -59,12 +59,12 @@
     assert front._counters.retries - before <= 4
 
 
-def test_a_shard_that_was_tried_again_late_is_still_hedged():
+def test_a_shard_that_was_retried_late_is_still_hedged():
     world = test_forwarding.build()
     for _ in range(30):
         world.ask("akl-1", "/search/q")
         world.run(0.1)
-    # The first attempt fails after a while, the second one hangs; the first target is well again.
+    # The first attempt fails after 60 ms and its target then recovers; the second attempt hangs.
     first, second = test_forwarding.targets_of(world, "s01")
     near = next(target for target in (first, second) if target.hall == "akl")
     other = second if near is first else first
@@ -80,9 +80,9 @@
     assert reply.seconds < 0.2
 
 
-def test_no_third_target_works_on_a_shard_after_a_gatherer_was_lost():
-    # Found on trouble-1 of convivio-sul: a hedge's gatherer was given up, its target was still at
-    # work, and another hedge ran on a third target where the route allows two.
+def test_no_third_target_runs_a_shard_after_a_gatherer_is_lost():
+    # The gatherer of a hedge was given up while its target was still running the query. Another
+    # hedge then ran on a third target, although the route allows two.
     world = test_forwarding.build()
     for shard in test_forwarding.SHARDS:
         for hall in deployment.HALLS:
