--- a/src/lineworks/forwarding/gatherers.py
+++ b/src/lineworks/forwarding/gatherers.py
@@ -1,4 +1,4 @@
-"""The front's view of the gatherers in other data halls: whom to ask, and what they owe."""
+"""The front's client for gatherers: selects peers, sends queries and dispatches their replies."""
 
 from __future__ import annotations
 
@@ -16,35 +16,44 @@
 
     from lineworks.services import peer_links
 
-SILENCE = 0.3
-"""Seconds with work in hand and no frame at all after which a gatherer is passed over. Its first
-frame of a query is due far earlier, and so is the next heartbeat."""
+SILENCE_SECONDS = 0.3
+"""Seconds without any frame, while queries are open, after which a gatherer counts as silent and is
+skipped. Its first message for a query and its next heartbeat are both due far earlier."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Peer:
-    """What one gatherer owes."""
+    """State of one gatherer."""
 
     open: int = 0
+    """Number of queries that it has not finished."""
+
     waiting_since: float = 0.0
+    """When it last went from no open query to one, in seconds."""
+
     silent_at: float = -math.inf
-    """When it was last known to be silent; it is passed over until it is heard of again."""
+    """When it was last found silent, in seconds; it is skipped until a frame arrives after that."""
 
     rate: float = gather_rate.UNKNOWN
-    """Shards a second that it says it can ask."""
+    """Shards per second that it reports it can query."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Order:
-    """A query sent to a gatherer."""
+class _PendingQuery:
+    """A query sent to a gatherer that has not been closed."""
 
     peer: str
+    """Name of the gatherer."""
+
     on_parts: Callable[[node_frames.GatherParts], None]
+    """Called with each message for the query."""
+
     on_lost: Callable[[], None]
+    """Called when the link is lost."""
 
 
-class Gatherers:
-    """Sends queries to gatherers and matches what comes back."""
+class GathererClient:
+    """Sends queries to gatherers and matches replies to them."""
 
     def __init__(
         self,
@@ -53,20 +62,20 @@
         rng: random.Random,
         own_rate: float = gather_rate.UNKNOWN,
     ) -> None:
-        """Start with nothing under way.
+        """Create a client without open queries.
 
         Args:
             reactor: Twisted's reactor.
             links: Links to the other instances.
             rng: Spreads queries over the gatherers of a hall.
-            own_rate: Shards a second that this instance can ask itself.
+            own_rate: Shards per second that this instance can query itself.
         """
         self._own_rate = own_rate
         self._reactor = reactor
         self._links = links
         self._rng = rng
         self._numbers = itertools.count(1)
-        self._orders: dict[int, _Order] = {}
+        self._pending: dict[int, _PendingQuery] = {}
         self._peers: dict[str, _Peer] = {}
         self._leaving: set[str] = set()
         links.handle(node_frames.GatherParts, self._on_parts)
@@ -74,74 +83,74 @@
 
     @property
     def own_rate(self) -> float:
-        """Shards a second that this instance can ask itself."""
+        """Shards per second that this instance can query itself."""
         return self._own_rate
 
     def ranked(self, hall: str) -> list[str]:
-        """List the gatherers of a hall that are heard of, in the order in which to ask them.
+        """List the available gatherers of a hall in order of preference.
 
         Args:
-            hall: The hall.
+            hall: The data hall.
 
         Returns:
-            Their names.
+            Names of the instances.
         """
         helpers = [
             gather_rate.Candidate(name, self.rate(name), self._peer(name).open)
-            for name in self.able(hall)
+            for name in self.available_peers(hall)
         ]
         return gather_rate.rank(helpers, self._rng.random)
 
     def rate(self, name: str) -> float:
-        """Tell how fast a gatherer is, as far as it says.
+        """Return the rate that a gatherer reports.
 
         Args:
-            name: The gatherer.
+            name: Name of the gatherer.
 
         Returns:
-            Shards a second; unknown where this instance does not tell its own rate.
+            Shards per second; `gather_rate.UNKNOWN` if this instance has no rate of its own.
         """
         return self._peer(name).rate if self._own_rate > gather_rate.UNKNOWN else self._own_rate
 
     def is_faster(self, name: str) -> bool:
-        """Say whether a gatherer is so much faster that work of this instance is handed to it.
+        """Return whether a gatherer is so much faster that this instance hands work over to it.
 
         Args:
-            name: The gatherer.
+            name: Name of the gatherer.
 
         Returns:
-            Whether it is; False where either rate is unknown.
+            Whether it is; False if either rate is unknown.
         """
         return gather_rate.is_faster(self.rate(name), self._own_rate)
 
     def has_faster(self, hall: str) -> bool:
-        """Say whether a gatherer of a hall is much faster than this instance.
+        """Return whether an available gatherer of a hall is much faster than this instance.
 
         Args:
-            hall: The hall.
+            hall: The data hall.
 
         Returns:
-            Whether any of those that are heard of is.
+            Whether there is one.
         """
-        return any(self.is_faster(name) for name in self.able(hall))
+        return any(self.is_faster(name) for name in self.available_peers(hall))
 
     def set_rate(self, peer: str, rate: float) -> None:
-        """Note how fast a gatherer says it is.
+        """Record the rate that a gatherer reports.
 
         Args:
-            peer: The gatherer.
-            rate: Shards a second.
+            peer: Name of the gatherer.
+            rate: Shards per second.
         """
         self._peer(peer).rate = rate
 
-    def able(self, hall: str) -> list[str]:
-        """List the other instances of a hall that are heard of and take new work.
+    def available_peers(self, hall: str) -> list[str]:
+        """List the other instances of a hall that are responsive and accept new work.
 
         Args:
-            hall: The hall.
+            hall: The data hall.
 
         Returns:
-            Their names.
+            Names of the instances.
         """
         now = self._reactor.seconds()
         return [
@@ -154,11 +163,11 @@
         ]
 
     def set_leaving(self, peer: str, is_leaving: bool) -> None:
-        """Note whether a gatherer takes no new work.
+        """Record whether a gatherer is shutting down and so accepts no new work.
 
         Args:
-            peer: The gatherer.
-            is_leaving: Whether it is about to stop.
+            peer: Name of the gatherer.
+            is_leaving: Whether it is shutting down.
         """
         if is_leaving:
             self._leaving.add(peer)
@@ -166,31 +175,34 @@
             self._leaving.discard(peer)
 
     def is_leaving(self, name: str) -> bool:
-        """Say whether an instance told that it takes no new work.
+        """Return whether an instance announced that it is shutting down.
 
         Args:
-            name: The instance.
+            name: Name of the instance.
 
         Returns:
             Whether it did.
         """
         return name in self._leaving
 
-    def distrust(self, name: str) -> None:
-        """Pass an instance over until it is heard of.
+    def mark_silent(self, name: str) -> None:
+        """Mark an instance as silent, so that it is skipped until its next frame arrives.
 
         Args:
-            name: The instance.
+            name: Name of the instance.
         """
         self._peer(name).silent_at = self._reactor.seconds()
 
-    def distrust_all(self) -> None:
-        """Pass all gatherers over until they are heard of: open connections went silent."""
+    def mark_all_silent(self) -> None:
+        """Mark all peers as silent, because open connections to targets went silent.
+
+        Each peer is skipped until its next frame arrives.
+        """
         for name in self._links.up:
-            self.distrust(name)
+            self.mark_silent(name)
 
     def next_number(self) -> int:
-        """Number a query."""
+        """Return the number for a new query."""
         return next(self._numbers)
 
     def send(
@@ -203,13 +215,13 @@
         """Send a query.
 
         Args:
-            peer: The gatherer.
+            peer: Name of the gatherer.
             query: The query.
-            on_parts: Takes what comes back, in one or more pieces.
-            on_lost: Called when the link is gone; nothing more comes.
+            on_parts: Called with each message for the query, of which there may be several.
+            on_lost: Called if the link is lost, after which no message follows.
 
         Returns:
-            False when there is no link, and so nothing was sent.
+            False if there is no link, so that nothing was sent.
         """
         if not self._links.send(peer, query):
             return False
@@ -217,7 +229,7 @@
         if not state.open:
             state.waiting_since = self._reactor.seconds()
         state.open += 1
-        self._orders[query.number] = _Order(peer, on_parts, on_lost)
+        self._pending[query.number] = _PendingQuery(peer, on_parts, on_lost)
         return True
 
     def close(self, number: int, shards: tuple[int, ...] | None) -> None:
@@ -225,31 +237,31 @@
 
         Args:
             number: Number of the query.
-            shards: Shards that the gatherer still works on, which it gives up; None or empty
-                when there are none.
+            shards: Positions of the shards that the gatherer still works on; None or empty if there
+                are none. If there are any, it is told to cancel the query.
         """
-        order = self._orders.pop(number, None)
-        if order is None:
+        pending = self._pending.pop(number, None)
+        if pending is None:
             return
-        peer = self._peer(order.peer)
-        link = self._links.up.get(order.peer)
+        peer = self._peer(pending.peer)
+        link = self._links.up.get(pending.peer)
         now = self._reactor.seconds()
-        if link is not None and self._is_silent(order.peer, link, now):
+        if link is not None and self._is_silent(pending.peer, link, now):
             peer.silent_at = now
         peer.open -= 1
         if shards:
-            self._links.send(order.peer, node_frames.GatherCancel(number, ()))
+            self._links.send(pending.peer, node_frames.GatherCancel(number, ()))
 
     def cancel(self, number: int, shards: tuple[int, ...]) -> None:
-        """Give up some shards of a query.
+        """Tell the gatherer to cancel some shards of a query.
 
         Args:
             number: Number of the query.
-            shards: Their positions in the query.
+            shards: Positions of the shards in the query.
         """
-        order = self._orders.get(number)
-        if order is not None and shards:
-            self._links.send(order.peer, node_frames.GatherCancel(number, shards))
+        pending = self._pending.get(number)
+        if pending is not None and shards:
+            self._links.send(pending.peer, node_frames.GatherCancel(number, shards))
 
     def _peer(self, name: str) -> _Peer:
         peer = self._peers.get(name)
@@ -263,20 +275,20 @@
             return True
         if not peer.open:
             return False
-        return now - max(link.heard_at, peer.waiting_since) > SILENCE
+        return now - max(link.heard_at, peer.waiting_since) > SILENCE_SECONDS
 
     def _on_parts(self, link: Any, frame: node_frames.GatherParts) -> None:
-        order = self._orders.get(frame.number)
-        if order is not None and link.hello is not None and order.peer == link.hello.name:
-            order.on_parts(frame)
+        pending = self._pending.get(frame.number)
+        if pending is not None and link.hello is not None and pending.peer == link.hello.name:
+            pending.on_parts(frame)
 
     def _on_down(self, name: str) -> None:
         self._leaving.discard(name)
-        lost = [number for number, order in self._orders.items() if order.peer == name]
+        lost = [number for number, pending in self._pending.items() if pending.peer == name]
         for number in lost:
-            order = self._orders.pop(number, None)
-            if order is None:
-                # The end of an earlier query ended its search, which closed this one as well.
+            pending = self._pending.pop(number, None)
+            if pending is None:
+                # The callback of an earlier query ended its search, which closed this query too.
                 continue
             self._peer(name).open -= 1
-            order.on_lost()
+            pending.on_lost()
