--- a/src/lineworks/forwarding/_connection_pool.py
+++ b/src/lineworks/forwarding/_connection_pool.py
@@ -45,7 +45,7 @@
             return idle.pop()
         return None
 
-    def drop_old(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Close connections that were idle too long.
 
         Args:
--- a/src/lineworks/forwarding/attempts.py
+++ b/src/lineworks/forwarding/attempts.py
@@ -117,7 +117,7 @@
     return len(known_targets(made)) + through_gatherers
 
 
-def has_target_left(made: Sequence[Attempt], most: int) -> bool:
+def has_target_left(made: Sequence[Attempt], max_targets: int) -> bool:
     """Say whether a request may be sent to a target that did not have it.
 
     Args:
@@ -127,10 +127,10 @@
     Returns:
         Whether fewer targets than that ran it or may run it yet.
     """
-    return len(made) < most or count_targets(made) < most
+    return len(made) < max_targets or count_targets(made) < max_targets
 
 
-def is_over(made: Sequence[Attempt], most: int) -> bool:
+def exceeds_target_limit(made: Sequence[Attempt], max_targets: int) -> bool:
     """Say whether more targets may have run a request than allowed, which is a fault.
 
     Args:
@@ -140,7 +140,7 @@
     Returns:
         Whether there are more.
     """
-    return len(made) > most and count_targets(made) > most
+    return len(made) > max_targets and count_targets(made) > max_targets
 
 
 def choose_target(
--- a/src/lineworks/forwarding/caution.py
+++ b/src/lineworks/forwarding/caution.py
@@ -13,16 +13,16 @@
     from lineworks.decisions import verdict
     from lineworks.forwarding import suspect_exchange
 
-TELL_AT = 3
+REPORT_AT_LOSSES = 3
 """Targets that broke off under a try without an answer at which the other instances are told before
 the try is over: its caller may ask one of them a few milliseconds after its end."""
 
-MOST_ENDS_OF_A_READ = 2
+MAX_READ_LOSSES = 2
 """Targets that a request to one service may lose before it ends: a second one shows whether the
 first loss was chance, a third would only cost one more target."""
 
 
-class Caution:
+class CrashGuard:
     """What one try has shown of its request."""
 
     def __init__(
@@ -43,7 +43,7 @@
         self._exchange = exchange
         self._content = content
         self._attempt = attempt
-        self._was_trial = is_trial
+        self._started_as_trial = is_trial
         self._broken: dict[str, None] = {}
         self._is_answered = False
         self._is_told = False
@@ -62,20 +62,20 @@
     @property
     def is_trial(self) -> bool:
         """Whether it may run on one target at a time only."""
-        return self._was_trial and not self._is_answered
+        return self._started_as_trial and not self._is_answered
 
     @property
-    def holds(self) -> bool:
+    def blocks_retries(self) -> bool:
         """Whether repeats and hedges wait: targets broke off and none has answered."""
         return bool(self._broken) and not self._is_answered
 
     @property
-    def is_enough(self) -> bool:
+    def has_reached_loss_limit(self) -> bool:
         """Whether a request to one service has lost as many targets as it may."""
-        most = 1 if self._was_trial else MOST_ENDS_OF_A_READ
-        return self.holds and len(self._broken) >= most
+        most = 1 if self._started_as_trial else MAX_READ_LOSSES
+        return self.blocks_retries and len(self._broken) >= most
 
-    def note_end(self, target: str, broke_off: bool, found: verdict.Verdict) -> None:
+    def note_end(self, target: str, lost_before_answer: bool, found: verdict.Verdict) -> None:
         """Take in the end of an attempt.
 
         Args:
@@ -83,7 +83,7 @@
             broke_off: Whether its connection ended before any byte of an answer.
             found: What is known of the attempt.
         """
-        if broke_off:
+        if lost_before_answer:
             self.note_broken(target)
         elif found.is_answered:
             self.note_answer()
@@ -103,15 +103,22 @@
         if target in self._broken:
             return
         self._broken[target] = None
-        if self._is_told or self._is_over or self._was_trial or len(self._broken) >= TELL_AT:
-            self._tell()
+        if (
+            self._is_told
+            or self._is_over
+            or self._started_as_trial
+            or len(self._broken) >= REPORT_AT_LOSSES
+        ):
+            self._report()
 
     def finish(self) -> None:
         """Note that the try is over."""
         self._is_over = True
-        self._tell()
+        self._report()
 
-    def _tell(self) -> None:
-        if self.holds:
+    def _report(self) -> None:
+        if self.blocks_retries:
             self._is_told = True
-            self._exchange.note_broken(self._content, self.broken, self._attempt, self._was_trial)
+            self._exchange.note_broken(
+                self._content, self.broken, self._attempt, self._started_as_trial
+            )
--- a/src/lineworks/forwarding/evidence_exchange.py
+++ b/src/lineworks/forwarding/evidence_exchange.py
@@ -22,10 +22,10 @@
     from lineworks.forwarding import extra_keeper, gatherers, target_sightings
     from lineworks.services import peer_links
 
-TELL_SECONDS = 0.05
+BATCH_SECONDS = 0.05
 """Seconds for which reports and beliefs are gathered before they go out in one message."""
 
-RETELL_SECONDS = 1.0
+REPEAT_SECONDS = 1.0
 """Seconds before the same is told again of a target."""
 
 MOST_NAMED = 6
@@ -49,7 +49,7 @@
     def add(self, sighting: target_evidence.Sighting, now: float) -> bool:
         """Take in a sighting; say whether it will be told."""
         kind, at = self._told.get(sighting.target, (None, 0.0))
-        if kind is sighting.kind and now - at < RETELL_SECONDS:
+        if kind is sighting.kind and now - at < REPEAT_SECONDS:
             return False
         self._told[sighting.target] = (sighting.kind, now)
         self._news[sighting.target] = sighting
@@ -58,7 +58,7 @@
     def take(self, now: float) -> tuple[target_evidence.Sighting, ...]:
         """Take out all that waits, and forget what was told long ago."""
         news, self._news = tuple(self._news.values()), {}
-        oldest = now - RETELL_SECONDS
+        oldest = now - REPEAT_SECONDS
         self._told = {target: told for target, told in self._told.items() if told[1] > oldest}
         return news
 
@@ -105,9 +105,9 @@
         """Note what this instance saw of a target, to tell it soon."""
         was_empty = self._reports.is_empty
         if self._reports.add(sighting, self._reactor.seconds()) and was_empty:
-            self._reactor.callLater(TELL_SECONDS, self._report)
+            self._reactor.callLater(BATCH_SECONDS, self._send_reports)
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         """Tell the keeper what was seen."""
         now = self._reactor.seconds()
         news = self._reports.take(now)
@@ -115,35 +115,35 @@
         if keeper != self._name and self._links.send(keeper, node_frames.TargetReports(news)):
             self.counts["reported"] += len(news)
         else:
-            self._weigh(news, self._name, now)
+            self._aggregate(news, self._name, now)
 
     def _on_reports(self, link: Any, frame: node_frames.TargetReports) -> None:
         now = self._reactor.seconds()
         if not frame.is_belief:
-            self._weigh(frame.sightings, link.hello.name, now)
+            self._aggregate(frame.sightings, link.hello.name, now)
             return
         self.counts["beliefs_taken_over"] += len(frame.sightings)
         for sighting in frame.sightings:
             self._evidence.believe(sighting, now)
 
-    def _weigh(
+    def _aggregate(
         self, sightings: Iterable[target_evidence.Sighting], origin: str, now: float
     ) -> None:
         """Take in reports as keeper, and tell the hall soon what they change."""
         for sighting in sightings:
             self.counts["weighed"] += 1
             if self._evidence.note(sighting, origin, now):
-                self._tell_soon(sighting, now)
+                self._schedule_belief(sighting, now)
 
-    def _tell_soon(self, sighting: target_evidence.Sighting, now: float) -> None:
+    def _schedule_belief(self, sighting: target_evidence.Sighting, now: float) -> None:
         was_empty = self._beliefs.is_empty
         believed = self._evidence.slowness(sighting.target, now)
         if sighting.kind is target_evidence.Kind.SLOW and believed is not None:
             sighting = target_evidence.Sighting(sighting.target, sighting.kind, believed.factor)
         if self._beliefs.add(sighting, now) and was_empty:
-            self._reactor.callLater(TELL_SECONDS, self._tell_hall)
+            self._reactor.callLater(BATCH_SECONDS, self._send_beliefs)
 
-    def _tell_hall(self) -> None:
+    def _send_beliefs(self) -> None:
         news = self._beliefs.take(self._reactor.seconds())
         frame = node_frames.TargetReports(news, is_belief=True)
         peers = self._peers.able(self._hall)
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -256,8 +256,10 @@
             finish(found)
 
         is_trial = judgement is suspects.Judgement.TRIAL
-        care = caution.Caution(self._shared.suspects, content, attempt.decode("latin-1"), is_trial)
-        work = self._make_work(request, route, call, care, on_end)
+        guard = caution.CrashGuard(
+            self._shared.suspects, content, attempt.decode("latin-1"), is_trial
+        )
+        work = self._make_work(request, route, call, guard, on_end)
         on_gone = functools.partial(self._cancel, work, request, attempt, accessed)
 
         def on_admission(admission: quota_keeper.Admission) -> None:
@@ -307,18 +309,18 @@
         request: server_connection.Request,
         route: routes.Route,
         call: target_calls.TargetCall,
-        care: caution.Caution,
+        guard: caution.CrashGuard,
         on_end: Callable[[outcome.Outcome], None],
     ) -> _Work:
         """Prepare the search, or the request to one target, that a route asks for."""
         if not route.is_search:
             service = self._turns.choose(route)
             return single.SingleRequest(
-                self._shared, route, service, call, care, request.arrived, on_end
+                self._shared, route, service, call, guard, request.arrived, on_end
             )
         lag = answer_time.answer_lag(self._shared.lags)
         due = answer_time.answer_due(request.arrived, route.aim, request.network_delay, lag)
-        return search.Search(self._shared, route, call, care, due, request.arrived, on_end)
+        return search.Search(self._shared, route, call, guard, due, request.arrived, on_end)
 
     def _start(self, work: _Work) -> None:
         self._under_way.add(work)
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -192,12 +192,12 @@
         may_wait = now + ROOM_PAUSE < job.query.flush_at
         is_next = is_its_turn or not may_wait or not self._is_behind(job, service)
         if is_next and not job.holds:
-            state = self._book.choose_in(self._hall, service, now, not job.is_merging)
+            state = self._book.choose_in_hall(self._hall, service, now, not job.is_merging)
         if state is not None:
             self._line.note_served(job.query.workspace)
             on_end = functools.partial(self._on_end, key, shard, state.id)
             job.running[shard] = self._calls.send(state, job.call, on_end)
-        elif may_wait and self._book.is_full_in(self._hall, service, now):
+        elif may_wait and self._book.is_full_in_hall(self._hall, service, now):
             job.waiting.append(shard)
         else:
             self._line.note_refused(job.query.workspace)
@@ -275,7 +275,7 @@
             is_sent = answers.was_sent(end.verdict)
             failure = _FAILURES[end.verdict.certainty] if is_sent else node_frames.Failure.NOT_SENT
             job.failed[shard] = failure
-            if end.broke_off:
+            if end.lost_before_answer:
                 job.broken[shard] = target
                 job.has_broken = True
             job.has_answer |= end.verdict.is_answered
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -368,7 +368,7 @@
             self._calls.forget(state.id)
         self._suspects.note_gone(state.id for state in change.gone)
         for state in change.ended:
-            self._calls.on_ended(state)
+            self._calls.on_target_ended(state)
         age = round(self._directory.age, 3)
         for kind, states in (
             ("target_added", change.added),
--- a/src/lineworks/forwarding/placement_view.py
+++ b/src/lineworks/forwarding/placement_view.py
@@ -53,7 +53,7 @@
                 "share_a_second": book.cold.share(state.id, state.cold_rate),
             }
             for state in book.states
-            if state.is_bounded(now)
+            if state.is_cold_limited(now)
         ],
     }
     return operator_answers.as_json(document)
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -59,7 +59,7 @@
         shared: tools.Tools,
         route: routes.Route,
         call: target_calls.TargetCall,
-        care: caution.Caution,
+        guard: caution.CrashGuard,
         due: float,
         arrived: float,
         on_end: Callable[[outcome.Outcome], None],
@@ -78,7 +78,7 @@
         self._shared = shared
         self._route = route
         self._call = call
-        self._care = care
+        self._guard = guard
         self._due = due
         self._arrived = arrived
         self._on_end: Callable[[outcome.Outcome], None] | None = on_end
@@ -89,7 +89,7 @@
             shared,
             route,
             call,
-            care,
+            guard,
             self._shards,
             self._parts.floor,
             self._take,
@@ -143,7 +143,7 @@
             return
         if not self._sent.count:
             shared.line.note_served(self._call.workspace)
-        if self._care.is_trial:
+        if self._guard.is_trial:
             self._begin_trial(chosen, now)
             return
         self._hedges.begin(now, self._due)
@@ -172,7 +172,7 @@
 
     def _on_trial_end(self, found: verdict.Verdict) -> None:
         """Go on after the target of a trial failed: elsewhere if it didn't run, else not at all."""
-        if self._care.holds or not found.is_not_run:
+        if self._guard.blocks_retries or not found.is_not_run:
             self._finish_in_part()
         else:
             self._set_timer(ROOM_PAUSE, self._begin)
@@ -224,7 +224,7 @@
     def cancel(self) -> None:
         """Give the search up, because its caller has gone."""
         self._on_end = None
-        self._care.finish()
+        self._guard.finish()
         self._stop()
 
     def _set_timer(self, delay: float, call: Callable[[], None]) -> None:
@@ -242,7 +242,7 @@
             is_hedge: Whether they are second attempts beside slow ones.
         """
         now = self._shared.reactor.seconds()
-        self._shared.calls.notice_silence(now)
+        self._shared.calls.check_silence(now)
         remote: list[int] = []
         near: dict[int, target_state.TargetState] = {}
         for index, state in chosen.items():
@@ -309,7 +309,7 @@
         if self._shared.reactor.seconds() + NO_RETRY_SECONDS >= self._call.deadline:
             # Too late for another attempt, and others are about to tell what became of theirs.
             return
-        if self._care.is_trial:
+        if self._guard.is_trial:
             self._on_trial_end(found)
             return
         if not self._hedges.is_begun:
@@ -320,7 +320,7 @@
         if index in self._parts.covered or shard.running or shard.is_waiting:
             self._check_held()
             return
-        if self._care.holds:
+        if self._guard.blocks_retries:
             self._hold(index)
             return
         # The targets that had it failed just now, so they are not asked again.
@@ -344,12 +344,17 @@
     def _check_held(self) -> None:
         """End a search whose targets broke off when none is left that could still answer."""
         is_running = any(shard.running for shard in self._shards)
-        if self._on_end is not None and self._held and self._care.holds and not is_running:
+        if (
+            self._on_end is not None
+            and self._held
+            and self._guard.blocks_retries
+            and not is_running
+        ):
             self._finish_in_part()
 
     def _release(self) -> None:
         """Try again the shards that were put off, because a target has answered."""
-        if not self._held or self._care.holds:
+        if not self._held or self._guard.blocks_retries:
             return
         held, self._held = self._held, []
         for index in held:
@@ -380,7 +385,7 @@
         shard.is_waiting = False
         if self._on_end is None or index in self._parts.covered or shard.running:
             return
-        if self._care.holds:
+        if self._guard.blocks_retries:
             self._hold(index)
             return
         self._dispatch({index: self._choose_now(shard)}, is_hedge=False)
@@ -404,7 +409,7 @@
         if self._on_end is None:
             return
         now = self._shared.reactor.seconds()
-        if not self._care.holds:
+        if not self._guard.blocks_retries:
             self._send_hedges(now)
         self._hedges.ask_for_more(self._on_more_extras)
         pause = self._hedges.next_look(now)
@@ -414,7 +419,7 @@
 
     def _on_more_extras(self) -> None:
         """Choose again, because extra attempts that were lacking may have come."""
-        if self._on_end is None or self._care.holds:
+        if self._on_end is None or self._guard.blocks_retries:
             return
         self._send_hedges(self._shared.reactor.seconds())
         self._check()
@@ -486,7 +491,7 @@
     def _end(self, found: outcome.Outcome) -> None:
         on_end = self._on_end
         self._on_end = None
-        self._care.finish()
+        self._guard.finish()
         described = dataclasses.replace(
             found,
             covered=len(self._parts.covered),
@@ -499,8 +504,8 @@
             ),
             failures=tuple(self._failures),
             over_limit=search_state.over_limit(self._shards, self._route.max_attempts),
-            broken=self._care.broken,
-            is_answered=self._care.is_answered,
+            broken=self._guard.broken,
+            is_answered=self._guard.is_answered,
         )
         self._stop()
         if on_end is not None:
--- a/src/lineworks/forwarding/search_attempts.py
+++ b/src/lineworks/forwarding/search_attempts.py
@@ -47,7 +47,7 @@
         shared: tools.Tools,
         route: routes.Route,
         call: target_calls.TargetCall,
-        care: caution.Caution,
+        guard: caution.CrashGuard,
         shards: Sequence[search_state.Shard],
         floor: Callable[[], bytes],
         take: Callable[[parts.Part, Iterable[search_state.Try]], bool],
@@ -68,7 +68,7 @@
         self._shared = shared
         self._route = route
         self._call = call
-        self._care = care
+        self._guard = guard
         self._shards = shards
         self._floor = floor
         self._take = take
@@ -90,20 +90,20 @@
             now: The present, in seconds.
             is_hedge: Whether they are second attempts beside slow ones.
         """
-        slack = target_book.GOOD_SECONDS
+        slack = target_book.LOCALITY_SLACK_SECONDS
         if not is_hedge and mechanisms.Mechanism.ONE_HALL not in self._shared.without:
             slack = max(slack, ONE_HALL_SHARE * self._route.aim)
         left: dict[int, list[tuple[float, target_state.TargetState]]] = {}
         for index in wanted:
             shard = self._shards[index]
-            left[index] = self._shared.book.rated(
+            left[index] = self._shared.book.near_best(
                 shard.service, now, shard.tried, slack, self._route.homes
             )
         while left:
             by_hall: dict[str, dict[int, target_state.TargetState]] = {}
             slowest: dict[str, float] = {}
-            for index, rated in left.items():
-                for seconds, state in rated:
+            for index, near_best in left.items():
+                for seconds, state in near_best:
                     hall = state.hall
                     by_hall.setdefault(hall, {})[index] = state
                     slowest[hall] = max(seconds, slowest.get(hall, 0.0))
@@ -263,7 +263,7 @@
         shard = self._shards[attempt.shard]
         shard.running.remove(attempt)
         attempt.end = end.verdict
-        self._care.note_end(attempt.state.id, end.broke_off, end.verdict)
+        self._guard.note_end(attempt.state.id, end.lost_before_answer, end.verdict)
         if not end.verdict.is_ok or end.response is None:
             if not answers.was_sent(end.verdict):
                 self._note_unsent(shard)
@@ -290,7 +290,7 @@
                 self._note_remote(attempt, now)
             found.append((part, done))
         if found:
-            self._care.note_answer()
+            self._guard.note_answer()
         self._close_query_if_over(number)
         for part, done in found:
             self._use(number, part, done, is_merged=not frame.counts)
@@ -342,7 +342,7 @@
             )
         self._shared.book.note_failure(attempt.state, now)
         attempt.end = search_state.remote_verdict(failure)
-        self._care.note_end(broken, bool(broken), attempt.end)
+        self._guard.note_end(broken, bool(broken), attempt.end)
         self._on_failure(attempt.shard, attempt.end)
 
     def _note_unsent(self, shard: search_state.Shard) -> None:
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -185,7 +185,7 @@
             shard.not_hedged = reason.NO_TARGET if is_left else reason.LIMIT
             return None
         is_enough = len(self._found.covered) >= self._needed
-        if is_enough and now + book.least(state) > self._aim_at:
+        if is_enough and now + book.min_seconds(state) > self._aim_at:
             shard.not_hedged = search_state.NotHedged.TOO_LATE
             return None
         kept = extra_attempts.KEPT_FROM_HEDGES
--- a/src/lineworks/forwarding/search_state.py
+++ b/src/lineworks/forwarding/search_state.py
@@ -132,7 +132,7 @@
     return tuple(
         attempts.describe(shard.service, shard.made)
         for shard in shards
-        if attempts.is_over(shard.made, most)
+        if attempts.exceeds_target_limit(shard.made, most)
     )
 
 
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -30,7 +30,7 @@
 """Share of the aim that a request waits for a target with room before it is refused: a refusal
 within a quarter of the aim still leaves time for another try."""
 
-MOST_ATTEMPTS = 6
+MAX_ATTEMPTS = 6
 """Attempts at one request in all, refused ones included."""
 
 
@@ -43,7 +43,7 @@
         route: routes.Route,
         service: str,
         call: target_calls.TargetCall,
-        care: caution.Caution,
+        guard: caution.CrashGuard,
         arrived: float,
         on_end: Callable[[outcome.Outcome], None],
     ) -> None:
@@ -62,13 +62,13 @@
         self._route = route
         self._service = service
         self._call = call
-        self._care = care
+        self._guard = guard
         self._arrived = arrived
         self._on_end: Callable[[outcome.Outcome], None] | None = on_end
         self._made: list[attempts.Attempt] = []
         self._running: list[attempts.Attempt] = []
         self._tried: set[str] = set()
-        self._asks = 0
+        self._extra_requests = 0
         self._timers: list[Any] = []
         self._known: list[verdict.Verdict] = []
         self._failures: list[str] = []
@@ -92,7 +92,7 @@
         if shared.line.is_behind(self._claim, (self._service,)):
             self._wait_for_room()
         else:
-            self._place()
+            self._send_or_wait()
         is_hedged = mechanisms.Mechanism.READ_HEDGES not in shared.without
         if is_hedged and self._route.is_repeatable:
             delay = shared.hedges.delay(self._route.name, False, self._route.aim)
@@ -109,7 +109,7 @@
         if self._on_end is None:
             return
         if self._failure is not None and not self._running:
-            self._pass_back(self._failure, self._known[-1])
+            self._return_response(self._failure, self._known[-1])
             return
         self._give_up_running()
         found = outcome.refuse(self.known(), len(self._made), outcome.STOP_RETRY_AFTER)
@@ -121,13 +121,13 @@
         One that may run only once goes on at its target, so that it ends there in order.
         """
         self._on_end = None
-        self._care.finish()
+        self._guard.finish()
         self._stop(cancels_attempts=self._call.is_repeatable)
 
     def _set_timer(self, delay: float, call: Callable[[], None]) -> None:
         self._timers.append(self._shared.reactor.callLater(max(0.0, delay), call))
 
-    def _place(self) -> None:
+    def _send_or_wait(self) -> None:
         """Send an attempt to the best target; wait a little for one with room, or refuse."""
         if self._on_end is None or self._running:
             return
@@ -156,9 +156,9 @@
         """Look again soon: in its turn where room is shared between workspaces."""
         line = self._shared.line
         if line.is_fair:
-            self._leave_line = line.wait(self._claim, (self._service,), self._place)
+            self._leave_line = line.wait(self._claim, (self._service,), self._send_or_wait)
         else:
-            self._set_timer(ROOM_PAUSE, self._place)
+            self._set_timer(ROOM_PAUSE, self._send_or_wait)
 
     def _may_wait(self, now: float) -> bool:
         if mechanisms.Mechanism.ROOM_WAIT in self._shared.without:
@@ -184,13 +184,13 @@
     def _on_call_end(self, attempt: attempts.Attempt, end: target_calls.CallEnd) -> None:
         self._running.remove(attempt)
         attempt.end = end.verdict
-        self._care.note_end(attempt.state.id, end.broke_off, end.verdict)
+        self._guard.note_end(attempt.state.id, end.lost_before_answer, end.verdict)
         if self._on_end is None:
             return
         if end.verdict.is_ok and end.response is not None:
             self._record(attempt)
             self._target = attempt.state.id
-            self._pass_back(end.response, end.verdict)
+            self._return_response(end.response, end.verdict)
             return
         self._known.append(end.verdict)
         self._failures.append(
@@ -199,21 +199,21 @@
         if end.response is not None and not end.verdict.is_not_run:
             self._failure = end.response
         if not self._running:
-            self._go_on(end.verdict)
+            self._retry_or_finish(end.verdict)
 
     def _record(self, attempt: attempts.Attempt) -> None:
         is_remote = attempt.state.hall != self._shared.hall
         self._shared.record_answer(self._route.name, is_remote, attempt.started, attempt.is_hedge)
 
-    def _go_on(self, last: verdict.Verdict) -> None:
+    def _retry_or_finish(self, last: verdict.Verdict) -> None:
         """After the last attempt failed: try once more, or tell the caller."""
         if self._may_retry(last) and self._has_extra(last):
             self._shared.counters.retries += 1
-            self._place()
-        elif self._may_retry(last) and self._may_ask():
-            self._ask_for_extra(functools.partial(self._on_retry_granted, last))
+            self._send_or_wait()
+        elif self._may_retry(last) and self._may_request_extra():
+            self._request_extra(functools.partial(self._on_retry_granted, last))
         elif self._failure is not None:
-            self._pass_back(self._failure, last)
+            self._return_response(self._failure, last)
         else:
             self._finish_without(last.reason, last.detail)
 
@@ -222,13 +222,13 @@
         now = shared.reactor.seconds()
         if not last.is_not_run and not self._call.is_repeatable:
             return False
-        if self._care.is_enough:
+        if self._guard.has_reached_loss_limit:
             # The request itself may be what ends its targets.
             return False
         if not attempts.has_target_left(self._made, self._route.max_attempts):
             # Its targets failed just now; the caller learns so at once instead of a repeat there.
             return False
-        if len(self._made) >= MOST_ATTEMPTS or now + ROOM_PAUSE >= self._call.deadline:
+        if len(self._made) >= MAX_ATTEMPTS or now + ROOM_PAUSE >= self._call.deadline:
             return False
         return self._has_any()
 
@@ -250,23 +250,23 @@
         now = shared.reactor.seconds()
         return shared.may_spend(self._service, now, workspace=self._call.workspace)
 
-    def _may_ask(self) -> bool:
-        return self._asks < extra_keeper.MOST_ASKS
+    def _may_request_extra(self) -> bool:
+        return self._extra_requests < extra_keeper.MOST_ASKS
 
-    def _ask_for_extra(self, on_reply: Callable[[], None]) -> None:
-        self._asks += 1
+    def _request_extra(self, on_reply: Callable[[], None]) -> None:
+        self._extra_requests += 1
         self._shared.ask_for_retry(self._service, self._call.workspace, on_reply)
 
     def _on_retry_granted(self, last: verdict.Verdict) -> None:
         """Go on after an extra attempt was asked for."""
         if self._on_end is not None and not self._running:
-            self._go_on(last)
+            self._retry_or_finish(last)
 
     def _on_hedge(self) -> None:
         """Ask a second target while the first is slow."""
         if self._on_end is None or len(self._running) != 1:
             return
-        if self._care.is_trial or self._care.holds:
+        if self._guard.is_trial or self._guard.blocks_retries:
             return
         shared = self._shared
         now = shared.reactor.seconds()
@@ -274,8 +274,8 @@
         if state is None:
             return
         if not shared.may_spend(self._service, now, workspace=self._call.workspace):
-            if self._may_ask():
-                self._ask_for_extra(self._on_hedge)
+            if self._may_request_extra():
+                self._request_extra(self._on_hedge)
             return
         shared.counters.hedges += 1
         shared.log_hedges(self._call, now - self._arrived, [(self._running[0].state, state)])
@@ -292,7 +292,9 @@
         else:
             self._finish_without(verdict.Reason.OVERLOADED, "no target had room in time")
 
-    def _pass_back(self, response: client_connection.Response, found: verdict.Verdict) -> None:
+    def _return_response(
+        self, response: client_connection.Response, found: verdict.Verdict
+    ) -> None:
         """Give the caller a target's answer unchanged."""
         is_false_promise = headers.is_promise(response.status) and not found.is_not_run
         if is_false_promise and not self._call.is_repeatable:
@@ -315,7 +317,7 @@
     def _end(self, found: outcome.Outcome) -> None:
         on_end = self._on_end
         self._on_end = None
-        self._care.finish()
+        self._guard.finish()
         self._stop(cancels_attempts=True)
         if on_end is not None:
             described = dataclasses.replace(
@@ -323,14 +325,14 @@
                 target=self._target,
                 failures=tuple(self._failures),
                 over_limit=self._over_limit(),
-                broken=self._care.broken,
-                is_answered=self._care.is_answered,
+                broken=self._guard.broken,
+                is_answered=self._guard.is_answered,
             )
             on_end(described)
 
     def _over_limit(self) -> tuple[str, ...]:
         """Tell of the attempts when more targets may have run it than the route allows."""
-        if not attempts.is_over(self._made, self._route.max_attempts):
+        if not attempts.exceeds_target_limit(self._made, self._route.max_attempts):
             return ()
         return (attempts.describe(self._service, self._made),)
 
--- a/src/lineworks/forwarding/target_book.py
+++ b/src/lineworks/forwarding/target_book.py
@@ -27,13 +27,13 @@
 
     from lineworks.decisions import target_view
 
-GOOD_SECONDS = 0.015
+LOCALITY_SLACK_SECONDS = 0.015
 """Seconds that a target may always be slower than the best when that saves asking another hall."""
 
 LATENCY_WEIGHT = 0.25
 """Weight of one sample in a target's average."""
 
-MOST_SURPRISE = 3.0
+MAX_SAMPLE_FACTOR = 3.0
 """One answer counts at most as this multiple of what is known of its target: a pause of a quarter
 of a second says little of the next answer, while a slow target gets there within a few."""
 
@@ -43,19 +43,19 @@
 ERROR_WEIGHT = 0.15
 """Weight of one outcome in a target's share of failures."""
 
-ERROR_SECONDS = 0.3
+ERROR_PENALTY_SECONDS = 0.3
 """Seconds that a target with nothing but failures counts as slower: about one more try."""
 
 STALL_FACTOR = 2.5
 """A target without progress for this many usual service times counts as stalled."""
 
-STALL_FLOOR = 0.04
+STALL_FLOOR_SECONDS = 0.04
 """Seconds without progress that are never a stall."""
 
-USUAL_WORK = 1.5
+ANSWER_TIME_FACTOR = 1.5
 """Usual service times that one more answer is expected to take."""
 
-COLD_SECONDS = 0.03
+COLD_PENALTY_SECONDS = 0.03
 """Seconds that a target counts as slower while it has just started."""
 
 
@@ -105,7 +105,7 @@
         self._rng = rng
         self._states: dict[str, target_state.TargetState] = {}
         # Whether any service tells what its cold targets can handle.
-        self._bounds_cold = False
+        self._limits_cold = False
         self._by_service: dict[str, list[target_state.TargetState]] = {}
         self._service_times: dict[str, estimators.Average] = {}
         self.sightings = target_sightings.TargetSightings(
@@ -131,7 +131,7 @@
         Returns:
             Targets that came, that are leaving since now, that are gone, and that have ended.
         """
-        self._bounds_cold = any(spec.cold_rate > 0 for spec in services.values())
+        self._limits_cold = any(spec.cold_rate > 0 for spec in services.values())
         added: list[target_state.TargetState] = []
         leaving: list[target_state.TargetState] = []
         present: dict[str, target_state.TargetState] = {}
@@ -196,16 +196,20 @@
             Targets with room that are neither leaving nor resting; stalled ones only if there is
             no other.
         """
-        able = self._able(service, now, excluded, homes)
-        if self._bounds_cold:
-            able = [state for state in able if not state.is_bounded(now)] or able
+        candidates = self._with_capacity(service, now, excluded, homes)
+        if self._limits_cold:
+            candidates = [
+                state for state in candidates if not state.is_cold_limited(now)
+            ] or candidates
         if not self._avoids_slow:
-            return able
-        patience = self.patience(service)
-        lively = [state for state in able if not state.replica.is_stalled(now, patience)]
-        return lively or able
+            return candidates
+        stall_seconds = self.stall_seconds(service)
+        responsive = [
+            state for state in candidates if not state.replica.is_stalled(now, stall_seconds)
+        ]
+        return responsive or candidates
 
-    def _open(
+    def _accepting_work(
         self, service: str, homes: Collection[str] = routes.ANYWHERE
     ) -> list[target_state.TargetState]:
         """List the targets that may get a request at all, now or when they have room.
@@ -221,25 +225,25 @@
             return [state for state in taking if self.ways.is_home(state.hall, homes)]
         return taking
 
-    def _able(
+    def _with_capacity(
         self, service: str, now: float, excluded: Collection[str], homes: Collection[str]
     ) -> list[target_state.TargetState]:
         """List the targets with room that are not resting, stalled or not."""
-        able = []
-        for state in self._open(service, homes):
+        candidates = []
+        for state in self._accepting_work(service, homes):
             replica = state.replica
-            has_room = replica.in_flight < replica.limit.value and replica.rest_until <= now
-            if has_room and replica.target.name not in excluded:
-                able.append(state)
-        if self._bounds_cold:
-            return [state for state in able if self._has_cold_share(state, now)]
-        return able
-
-    def _has_cold_share(self, state: target_state.TargetState, now: float) -> bool:
-        is_bounded = state.is_bounded(now)
-        return not is_bounded or self.cold.may_send(state.id, state.cold_rate, now)
-
-    def is_full_in(self, hall: str, service: str, now: float) -> bool:
+            has_capacity = replica.in_flight < replica.limit.value and replica.rest_until <= now
+            if has_capacity and replica.target.name not in excluded:
+                candidates.append(state)
+        if self._limits_cold:
+            return [state for state in candidates if self._has_cold_allowance(state, now)]
+        return candidates
+
+    def _has_cold_allowance(self, state: target_state.TargetState, now: float) -> bool:
+        is_cold_limited = state.is_cold_limited(now)
+        return not is_cold_limited or self.cold.may_send(state.id, state.cold_rate, now)
+
+    def is_full_in_hall(self, hall: str, service: str, now: float) -> bool:
         """Say whether a target of one hall could be asked but for the requests under way there.
 
         Args:
@@ -250,13 +254,13 @@
         Returns:
             Whether one is lively and full.
         """
-        patience = self.patience(service)
+        stall_seconds = self.stall_seconds(service)
         return any(
             state.hall == hall
             and state.replica.rest_until <= now
-            and not state.replica.is_stalled(now, patience)
-            and not state.is_bounded(now)
-            for state in self._open(service)
+            and not state.replica.is_stalled(now, stall_seconds)
+            and not state.is_cold_limited(now)
+            for state in self._accepting_work(service)
         )
 
     def find(self, target: str) -> target_state.TargetState | None:
@@ -272,7 +276,7 @@
 
     def has_any(self, service: str, homes: Collection[str] = routes.ANYWHERE) -> bool:
         """Say whether a service has a target, in some home regions, that takes new work."""
-        return bool(self._open(service, homes))
+        return bool(self._accepting_work(service, homes))
 
     def describe(self, service: str, now: float) -> str:
         """Tell, for logs, what keeps the targets of a service from being asked.
@@ -287,7 +291,9 @@
         states = self._by_service.get(service, ())
         if not states:
             return "no target known"
-        return ", ".join(f"{state.id} {target_state.condition(state, now)}" for state in states)
+        return ", ".join(
+            f"{state.id} {target_state.unavailability(state, now)}" for state in states
+        )
 
     def choose(
         self,
@@ -307,7 +313,7 @@
         Returns:
             The target, or None when none may be asked.
         """
-        return self._soonest(self.usable(service, now, excluded, homes), now)
+        return self._fastest(self.usable(service, now, excluded, homes), now)
 
     def choose_among(
         self,
@@ -327,10 +333,10 @@
         Returns:
             The one that should answer first, or None when none of them may be asked.
         """
-        able = [state for state in self.usable(service, now, (), homes) if state.id in wanted]
-        return self._soonest(able, now)
+        candidates = [state for state in self.usable(service, now, (), homes) if state.id in wanted]
+        return self._fastest(candidates, now)
 
-    def choose_in(
+    def choose_in_hall(
         self, hall: str, service: str, now: float, takes_stalled: bool
     ) -> target_state.TargetState | None:
         """Choose the target of a service in one hall that should answer first.
@@ -347,32 +353,37 @@
         """
         anywhere = routes.ANYWHERE
         found = (
-            self._able(service, now, (), anywhere)
+            self._with_capacity(service, now, (), anywhere)
             if takes_stalled
             else self.usable(service, now, ())
         )
         here = [state for state in found if state.hall == hall]
-        patience = self.patience(service)
-        lively = [state for state in here if not state.replica.is_stalled(now, patience)]
-        return self._soonest(lively or here, now)
+        stall_seconds = self.stall_seconds(service)
+        responsive = [state for state in here if not state.replica.is_stalled(now, stall_seconds)]
+        return self._fastest(responsive or here, now)
 
-    def _soonest(
-        self, able: Sequence[target_state.TargetState], now: float
+    def _fastest(
+        self, candidates: Sequence[target_state.TargetState], now: float
     ) -> target_state.TargetState | None:
-        if not able:
+        if not candidates:
             return None
-        if len(able) == 1:
-            return able[0]
-        usual = self.service_time(able[0].replica.target.service)
-        has_told = self.sightings.has_told
-        best, least, lot = able[0], math.inf, math.inf
-        for state in able:
-            expected, drawn = self._expected(state, now, usual, has_told), self._rng.random()
-            if expected < least or (expected == least and drawn < lot):
-                best, least, lot = state, expected, drawn
+        if len(candidates) == 1:
+            return candidates[0]
+        usual = self.service_time(candidates[0].replica.target.service)
+        has_reports = self.sightings.has_reports
+        best, min_seconds, tie_break = candidates[0], math.inf, math.inf
+        for state in candidates:
+            expected_seconds, drawn = (
+                self._estimate(state, now, usual, has_reports),
+                self._rng.random(),
+            )
+            if expected_seconds < min_seconds or (
+                expected_seconds == min_seconds and drawn < tie_break
+            ):
+                best, min_seconds, tie_break = state, expected_seconds, drawn
         return best
 
-    def rated(
+    def near_best(
         self,
         service: str,
         now: float,
@@ -394,17 +405,17 @@
         """
         usual = self.service_time(service)
         usable = self.usable(service, now, excluded, homes)
-        has_told = self.sightings.has_told
-        able = [(self._expected(state, now, usual, has_told), state) for state in usable]
-        best = min((seconds for seconds, _ in able), default=0.0)
-        return [(seconds, state) for seconds, state in able if seconds <= best + slack]
+        has_reports = self.sightings.has_reports
+        candidates = [(self._estimate(state, now, usual, has_reports), state) for state in usable]
+        best = min((seconds for seconds, _ in candidates), default=0.0)
+        return [(seconds, state) for seconds, state in candidates if seconds <= best + slack]
 
-    def least(self, state: target_state.TargetState) -> float:
+    def min_seconds(self, state: target_state.TargetState) -> float:
         """Tell how long a target takes at least, with the way there and back, in seconds."""
         usual = self.service_time(state.replica.target.service)
         return usual / 2 + self.ways.round_trip(state.hall)
 
-    def expected(self, state: target_state.TargetState, now: float) -> float:
+    def expected_seconds(self, state: target_state.TargetState, now: float) -> float:
         """Estimate how long a target takes to answer, with the way there and back.
 
         Args:
@@ -415,10 +426,10 @@
             Seconds.
         """
         usual = self.service_time(state.replica.target.service)
-        return self._expected(state, now, usual, self.sightings.has_told)
+        return self._estimate(state, now, usual, self.sightings.has_reports)
 
-    def _expected(
-        self, state: target_state.TargetState, now: float, usual: float, has_told: bool
+    def _estimate(
+        self, state: target_state.TargetState, now: float, usual: float, has_reports: bool
     ) -> float:
         """Estimate it with the usual time of the service, and whether anything was told, at hand.
 
@@ -426,25 +437,25 @@
         """
         replica = state.replica
         target = replica.target
-        weight = 0.5 ** ((now - state.noted_at) / target_sightings.MEMORY_HALF_LIFE)
-        expected = usual
+        weight = 0.5 ** ((now - state.last_outcome_at) / target_sightings.MEMORY_HALF_LIFE)
+        expected_seconds = usual
         if self._avoids_slow:
-            expected += (state.latency.value - usual) * weight
-        if has_told:
-            told = self.sightings.told_seconds(target.name, state.noted_at, now, usual)
-            expected = max(expected, told)
+            expected_seconds += (state.latency.value - usual) * weight
+        if has_reports:
+            told = self.sightings.reported_seconds(target.name, state.last_outcome_at, now, usual)
+            expected_seconds = max(expected_seconds, told)
         load = 0.0
         if self._knows_load:
             load = replica.load(now) if replica.foreign else replica.in_flight
         slots = target.slots
         if load + 1 > slots:
-            expected += (load + 1 - slots) / slots * usual
+            expected_seconds += (load + 1 - slots) / slots * usual
         errors = state.errors.value
         if errors:
-            expected += errors * weight * ERROR_SECONDS
+            expected_seconds += errors * weight * ERROR_PENALTY_SECONDS
         if state.is_cold:
-            expected += COLD_SECONDS
-        return expected + self.ways.cost(target.hall)
+            expected_seconds += COLD_PENALTY_SECONDS
+        return expected_seconds + self.ways.cost(target.hall)
 
     def service_time(self, service: str) -> float:
         """Tell how long the targets of a service usually take, in seconds; 0 when unknown."""
@@ -461,11 +472,11 @@
             Seconds; only those of the way while nothing is known of the services.
         """
         slowest = max((self.service_time(service) for service in services), default=0.0)
-        return self.ways.farthest + USUAL_WORK * slowest
+        return self.ways.farthest + ANSWER_TIME_FACTOR * slowest
 
-    def patience(self, service: str) -> float:
+    def stall_seconds(self, service: str) -> float:
         """Tell after how many seconds without progress a target of a service is stalled."""
-        return max(STALL_FLOOR, STALL_FACTOR * self.service_time(service))
+        return max(STALL_FLOOR_SECONDS, STALL_FACTOR * self.service_time(service))
 
     def note_answer(self, state: target_state.TargetState, now: float, seconds: float) -> None:
         """Note that a target answered with success.
@@ -483,9 +494,9 @@
         known = max(usual.value, state.latency.value)
         usual.record(seconds)
         # The service's average keeps the pauses, because hedges must leave time for them.
-        state.latency.record(min(seconds, MOST_SURPRISE * known) if known else seconds)
+        state.latency.record(min(seconds, MAX_SAMPLE_FACTOR * known) if known else seconds)
         state.errors.record(0.0)
-        state.noted_at = now
+        state.last_outcome_at = now
 
     def note_failure(self, state: target_state.TargetState, now: float) -> None:
         """Note that a target failed, refused or broke off.
@@ -495,7 +506,7 @@
             now: The present, in seconds.
         """
         state.errors.record(1.0)
-        state.noted_at = now
+        state.last_outcome_at = now
 
     def note_given_up(self, state: target_state.TargetState, now: float, seconds: float) -> None:
         """Note that a target had not answered when it was no longer waited for.
@@ -509,7 +520,7 @@
         self.sightings.note_given_up(state.id, now, seconds, usual)
         if seconds > max(state.latency.value, usual):
             state.latency.record(seconds)
-            state.noted_at = now
+            state.last_outcome_at = now
 
 
 def _target(entry: target_view.TargetEntry, connections: int) -> catalog.Target:
--- a/src/lineworks/forwarding/target_calls.py
+++ b/src/lineworks/forwarding/target_calls.py
@@ -27,17 +27,17 @@
 UNREPEATABLE_IDLE_SHARE = 0.5
 """Part of a target's idle time after which its connection gets no unrepeatable request."""
 
-SILENT_TARGETS = 4
+MIN_SILENT_TARGETS = 4
 """Targets that do not answer over kept connections, while none does, from which on these are taken
 to be silent for good. Pauses and slow targets rarely meet in so many without one that answers."""
 
-SILENT_FACTOR = 1.5
+SILENCE_FACTOR = 1.5
 """Usual service times after which a target counts as one that does not answer."""
 
-SILENT_FLOOR = 0.04
+SILENCE_FLOOR_SECONDS = 0.04
 """Seconds that an answer may always take: two ways between regions."""
 
-SILENT_LOOK_SECONDS = 0.01
+SILENCE_CHECK_SECONDS = 0.01
 """Seconds between looks for targets that do not answer: each goes through the calls under way."""
 
 SWEEP_SECONDS = 1.0
@@ -86,7 +86,7 @@
     response: client_connection.Response | None = None
     """The target's answer, if a whole one came."""
 
-    broke_off: bool = False
+    lost_before_answer: bool = False
     """Whether the connection ended after the request was sent and before any byte of an answer:
     the target may have ended, or only the connection."""
 
@@ -119,10 +119,10 @@
         self._timer: Any = None
         self._under_way: dict[_Exchange, None] = {}
         # Calls under way over kept connections, the oldest first.
-        self._kept: dict[_Exchange, None] = {}
+        self._on_reused: dict[_Exchange, None] = {}
         # Start of the latest call that a kept connection brought an answer, or an end, to.
-        self._heard_from = -math.inf
-        self._next_look = -math.inf
+        self._last_answered_start = -math.inf
+        self._next_silence_check = -math.inf
         self.opened = 0
         """Connections opened so far."""
         self.on_silence: Callable[[], None] = lambda: None
@@ -149,7 +149,7 @@
         if pool is not None:
             pool.close_idle()
 
-    def on_ended(self, state: target_state.TargetState) -> None:
+    def on_target_ended(self, state: target_state.TargetState) -> None:
         """End all calls to a target whose process is known to have ended.
 
         Without it callers wait until their deadline where no connection tells of the end.
@@ -160,13 +160,13 @@
         for exchange in [one for one in self._under_way if one.state is state]:
             connection = exchange.connection
             exchange.connection = None
-            self._kept.pop(exchange, None)
+            self._on_reused.pop(exchange, None)
             if connection is not None:
                 connection.abort()
                 found = verdict.may_have_run(verdict.Reason.LINK_LOST, "the target has ended")
             else:
                 found = verdict.not_run(verdict.Reason.UNREACHABLE, "the target has ended")
-            self._end(exchange, CallEnd(found, broke_off=connection is not None), False)
+            self._end(exchange, CallEnd(found, lost_before_answer=connection is not None), False)
 
     def send(
         self,
@@ -186,7 +186,7 @@
             nothing of the request was handed to a connection, so that it certainly did not run.
         """
         now = self._reactor.seconds()
-        self.notice_silence(now)
+        self.check_silence(now)
         exchange = _Exchange(state, call, on_end, now)
         self._under_way[exchange] = None
         state.replica.on_started(now)
@@ -195,7 +195,7 @@
         share = 1.0 if call.is_repeatable else UNREPEATABLE_IDLE_SHARE
         connection = pool.take(now, share)
         if connection is not None:
-            self._kept[exchange] = None
+            self._on_reused[exchange] = None
             self._send_on(exchange, connection)
         elif pool.has_room:
             self._connect(pool, exchange)
@@ -203,7 +203,7 @@
             self._reactor.callLater(0, self._on_capped, exchange)
         return lambda: self._cancel(exchange)
 
-    def notice_silence(self, now: float) -> None:
+    def check_silence(self, now: float) -> None:
         """Give up kept connections where they are silent, before anything is sent by them.
 
         A search asks gatherers first, whose links are silent as well then: those that asked them
@@ -212,28 +212,28 @@
         Args:
             now: The present, in seconds.
         """
-        if self._are_kept_silent(now):
-            self._drop_kept(now)
+        if self._are_reused_silent(now):
+            self._on_connections_silent(now)
 
-    def _are_kept_silent(self, now: float) -> bool:
+    def _are_reused_silent(self, now: float) -> bool:
         """Say whether several targets owe answers over kept connections, and none gives any."""
-        if now < self._next_look:
+        if now < self._next_silence_check:
             return False
-        self._next_look = now + SILENT_LOOK_SECONDS
+        self._next_silence_check = now + SILENCE_CHECK_SECONDS
         silent = set()
-        for exchange in self._kept:
-            if now - exchange.started <= SILENT_FLOOR:
+        for exchange in self._on_reused:
+            if now - exchange.started <= SILENCE_FLOOR_SECONDS:
                 break
             usual = self._learning.usual(exchange.state)
-            is_late = now - exchange.started > SILENT_FACTOR * usual
-            if is_late and exchange.started > self._heard_from:
+            is_late = now - exchange.started > SILENCE_FACTOR * usual
+            if is_late and exchange.started > self._last_answered_start:
                 silent.add(exchange.state.id)
-        return len(silent) >= SILENT_TARGETS
+        return len(silent) >= MIN_SILENT_TARGETS
 
-    def _drop_kept(self, now: float) -> None:
+    def _on_connections_silent(self, now: float) -> None:
         """Close all idle connections, so that what is sent from now on goes over new ones."""
-        _log.warning("connections_silent", under_way=len(self._kept))
-        self._heard_from = now
+        _log.warning("connections_silent", under_way=len(self._on_reused))
+        self._last_answered_start = now
         for pool in self._pools.values():
             pool.close_idle()
         self.on_silence()
@@ -263,7 +263,7 @@
         """Send the request that a connection was opened for."""
         exchange.connector = None
         if exchange.on_end is None:
-            self._keep(exchange, connection)
+            self._release(exchange, connection)
             return
         self._send_on(exchange, connection)
 
@@ -310,19 +310,21 @@
     ) -> None:
         connection = exchange.connection
         exchange.connection = None
-        if exchange in self._kept:
-            del self._kept[exchange]
-            self._heard_from = max(self._heard_from, exchange.started)
+        if exchange in self._on_reused:
+            del self._on_reused[exchange]
+            self._last_answered_start = max(self._last_answered_start, exchange.started)
         if isinstance(end, client_connection.ConnectionFailure):
             found = verdict.may_have_run(verdict.Reason.LINK_LOST, end.detail)
-            self._end(exchange, CallEnd(found, broke_off=end.is_unanswered), is_progress=False)
+            self._end(
+                exchange, CallEnd(found, lost_before_answer=end.is_unanswered), is_progress=False
+            )
             return
         if connection is not None:
-            self._keep(exchange, connection)
+            self._release(exchange, connection)
         found = answers.judge(end)
         self._end(exchange, CallEnd(found, end), is_progress=True)
 
-    def _keep(self, exchange: _Exchange, connection: client_connection.ClientConnection) -> None:
+    def _release(self, exchange: _Exchange, connection: client_connection.ClientConnection) -> None:
         pool = self._pools.get(exchange.state.id)
         if pool is None or exchange.state.replica.is_leaving:
             connection.abort()
@@ -352,7 +354,7 @@
             return False
         exchange.on_end = None
         self._under_way.pop(exchange, None)
-        self._kept.pop(exchange, None)
+        self._on_reused.pop(exchange, None)
         now = self._reactor.seconds()
         exchange.state.replica.on_ended(now, is_progress=False)
         self._learning.on_given_up(exchange.state, now, now - exchange.started)
@@ -366,7 +368,7 @@
         self._timer = self._reactor.callLater(SWEEP_SECONDS, self._sweep)
         now = self._reactor.seconds()
         for pool in self._pools.values():
-            pool.drop_old(now)
+            pool.close_expired(now)
 
 
 class _Factory(protocol.ClientFactory):
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -17,7 +17,7 @@
     from lineworks.forwarding import target_book, target_state
     from lineworks.http1 import client_connection
 
-SHED_REST = 0.02
+SHED_BACKOFF_SECONDS = 0.02
 """Seconds that a target is left alone after it refused a request for lack of room."""
 
 SLOW_FACTOR = 2.0
@@ -85,16 +85,16 @@
         if found.is_ok:
             state.replica.limit.on_success()
             self._book.note_answer(state, now, seconds)
-            self._note_return(state)
+            self._log_return(state)
         elif found.reason is verdict.Reason.CAPPED:
             state.replica.limit.on_refused()
         else:
             self._book.note_failure(state, now)
             self._on_failure(state, found, now)
         if response is not None:
-            self._note_told(state, response, now)
+            self._record_reported_load(state, response, now)
 
-    def _note_told(
+    def _record_reported_load(
         self,
         state: target_state.TargetState,
         response: client_connection.Response,
@@ -106,7 +106,7 @@
             state.replica.on_load(now, state.id, load.running + load.waiting)
             if load.pace is not None:
                 state.pace = load.pace
-                state.pace_at = now
+                state.pace_reported_at = now
         left = headers.read_cold_seconds(response.headers)
         if left:
             state.assumed_cold_until = max(state.assumed_cold_until, now + left)
@@ -123,7 +123,7 @@
         if usual and seconds > SLOW_FACTOR * usual:
             state.replica.on_lost_race(now)
             if state.replica.suspect_until > now:
-                self._note_avoided(state, now, state.replica.suspect_until, "slow", seconds)
+                self._log_avoided(state, now, state.replica.suspect_until, "slow", seconds)
         self._book.note_given_up(state, now, seconds)
 
     def _on_failure(
@@ -132,18 +132,18 @@
         replica = state.replica
         if found.reason is verdict.Reason.OVERLOADED:
             replica.limit.on_refused()
-            replica.rest_until = now + SHED_REST
+            replica.rest_until = now + SHED_BACKOFF_SECONDS
         elif found.reason in (verdict.Reason.UNREACHABLE, verdict.Reason.LINK_LOST):
             replica.on_unreachable(now, self._rng)
             if found.reason is verdict.Reason.UNREACHABLE:
                 self._book.sightings.note_unreachable(state.id, now)
-            self._note_avoided(state, now, replica.rest_until, found.reason.value, 0.0)
+            self._log_avoided(state, now, replica.rest_until, found.reason.value, 0.0)
         elif found.reason is verdict.Reason.LEAVING:
             # Another process has the address, so this one is gone for good.
             replica.is_leaving = True
             self._book.sightings.note_gone(state.id, now)
 
-    def _note_avoided(
+    def _log_avoided(
         self, state: target_state.TargetState, now: float, until: float, why: str, waited: float
     ) -> None:
         """Say that a target is passed over for a while."""
@@ -159,7 +159,7 @@
             waited_ms=round(waited * 1000, 1),
         )
 
-    def _note_return(self, state: target_state.TargetState) -> None:
+    def _log_return(self, state: target_state.TargetState) -> None:
         """Say that a target that was passed over answers again."""
         if state.is_avoided:
             state.is_avoided = False
--- a/src/lineworks/forwarding/target_probe.py
+++ b/src/lineworks/forwarding/target_probe.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-STAYS_OPEN_SECONDS = 0.1
+MIN_OPEN_SECONDS = 0.1
 """Seconds for which a connection to a target that lives stays open: a proxy finds out within a
 round trip or two that nobody is behind it."""
 
@@ -59,7 +59,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         """Wait whether the connection stays open."""
-        self._timer = self._reactor.callLater(STAYS_OPEN_SECONDS, self._on_open)
+        self._timer = self._reactor.callLater(MIN_OPEN_SECONDS, self._on_open)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
         """Report that nobody is behind it, unless it had stayed open."""
--- a/src/lineworks/forwarding/target_sightings.py
+++ b/src/lineworks/forwarding/target_sightings.py
@@ -29,11 +29,13 @@
         """Takes what this instance saw."""
 
     @property
-    def has_told(self) -> bool:
+    def has_reports(self) -> bool:
         """Whether anything is believed of any target."""
         return self._is_shared and self.evidence.has_beliefs
 
-    def told_seconds(self, target: str, noted_at: float, now: float, usual: float) -> float:
+    def reported_seconds(
+        self, target: str, last_outcome_at: float, now: float, usual: float
+    ) -> float:
         """Tell how long a target takes by what was said of it.
 
         Args:
@@ -46,7 +48,7 @@
             Seconds; 0 when nothing was said since this instance saw it.
         """
         told = self.evidence.slowness(target, now) if self._is_shared else None
-        if told is None or told.at <= noted_at:
+        if told is None or told.at <= last_outcome_at:
             return 0.0
         return usual * (1 + (told.factor - 1) * 0.5 ** ((now - told.at) / MEMORY_HALF_LIFE))
 
@@ -61,7 +63,7 @@
         """
         is_fast = seconds <= target_evidence.FAST_FACTOR * usual
         if is_fast and self.evidence.is_called_slow(target):
-            self._tell(target_evidence.Sighting(target, target_evidence.Kind.WELL), now)
+            self._share(target_evidence.Sighting(target, target_evidence.Kind.WELL), now)
         else:
             self.note_given_up(target, now, seconds, usual)
 
@@ -76,7 +78,7 @@
         """
         if usual and seconds >= target_evidence.SLOW_FACTOR * usual:
             factor = seconds / usual
-            self._tell(target_evidence.Sighting(target, target_evidence.Kind.SLOW, factor), now)
+            self._share(target_evidence.Sighting(target, target_evidence.Kind.SLOW, factor), now)
 
     def note_unreachable(self, target: str, now: float) -> None:
         """Tell of a target that no connection could be opened to.
@@ -86,7 +88,7 @@
             now: The present, in seconds.
         """
         factor = target_evidence.MOST_FACTOR
-        self._tell(target_evidence.Sighting(target, target_evidence.Kind.SLOW, factor), now)
+        self._share(target_evidence.Sighting(target, target_evidence.Kind.SLOW, factor), now)
 
     def note_gone(self, target: str, now: float) -> None:
         """Tell that another process has a target's address.
@@ -95,9 +97,9 @@
             target: Identity of the process that was expected.
             now: The present, in seconds.
         """
-        self._tell(target_evidence.Sighting(target, target_evidence.Kind.GONE), now)
+        self._share(target_evidence.Sighting(target, target_evidence.Kind.GONE), now)
 
-    def _tell(self, sighting: target_evidence.Sighting, now: float) -> None:
+    def _share(self, sighting: target_evidence.Sighting, now: float) -> None:
         if not self._is_shared:
             return
         if sighting.kind is not target_evidence.Kind.SLOW:
--- a/src/lineworks/forwarding/target_state.py
+++ b/src/lineworks/forwarding/target_state.py
@@ -23,7 +23,7 @@
     errors: estimators.Average
     """Share of its answers that were failures."""
 
-    noted_at: float = -math.inf
+    last_outcome_at: float = -math.inf
     """When it last answered, failed or was given up, in seconds."""
 
     is_cold: bool = False
@@ -38,7 +38,7 @@
     pace: float = 1.0
     """How long work takes there, as a multiple of what is usual, as it last said."""
 
-    pace_at: float = -math.inf
+    pace_reported_at: float = -math.inf
     """When it said so, in seconds."""
 
     is_evacuated: bool = False
@@ -56,7 +56,7 @@
         """Identity of the target's process, among all that had or will have its identity."""
         return self.replica.target.name
 
-    def is_bounded(self, now: float) -> bool:
+    def is_cold_limited(self, now: float) -> bool:
         """Say whether it is cold, and what it may get is bounded.
 
         Args:
@@ -73,7 +73,7 @@
         return self.replica.target.hall
 
 
-def condition(state: TargetState, now: float) -> str:
+def unavailability(state: TargetState, now: float) -> str:
     """Tell, for logs, what keeps a target from being asked.
 
     Args:
@@ -93,6 +93,6 @@
         return f"left alone for {left} ms after {replica.failures} failures"
     if replica.in_flight >= replica.limit.value:
         return f"full with {replica.in_flight}"
-    if state.is_bounded(now):
+    if state.is_cold_limited(now):
         return "cold, and the share of this instance is used up"
     return "not asked: stalled, in another hall, or asked already"
--- a/tests/test_attempt_limit.py
+++ b/tests/test_attempt_limit.py
@@ -211,8 +211,8 @@
     assert attempts.count_targets(attempts_made) == expected
     assert attempts.has_target_left(attempts_made, expected + 1)
     assert not attempts.has_target_left(attempts_made, expected)
-    assert not attempts.is_over(attempts_made, expected)
-    assert attempts.is_over(attempts_made, expected - 1)
+    assert not attempts.exceeds_target_limit(attempts_made, expected)
+    assert attempts.exceeds_target_limit(attempts_made, expected - 1)
 
 
 def test_people_are_told_what_became_of_each_attempt():
--- a/tests/test_target_book.py
+++ b/tests/test_target_book.py
@@ -26,11 +26,11 @@
     # Found on quiet-1 of stavewright-nz: after each pause of a target its shard went to another
     # hall for seconds, and every search asked two halls instead of one.
     book, (near, far) = build()
-    before = book.expected(near, 0.0)
+    before = book.expected_seconds(near, 0.0)
     book.note_answer(near, 0.0, 0.25)
-    assert book.expected(near, 0.0) - before < target_book.GOOD_SECONDS
+    assert book.expected_seconds(near, 0.0) - before < target_book.LOCALITY_SLACK_SECONDS
     assert book.choose("s", 0.0, ()) is near
-    assert book.expected(far, 0.0) > book.expected(near, 0.0)
+    assert book.expected_seconds(far, 0.0) > book.expected_seconds(near, 0.0)
 
 
 def test_a_target_that_stays_slow_is_passed_over_within_a_few_answers():
@@ -44,9 +44,9 @@
     book, (near, far) = build()
     for _ in range(3):
         book.note_answer(far, 0.0, 0.04)
-    gap = book.expected(far, 0.0) - book.expected(near, 0.0)
-    assert [state for _, state in book.rated("s", 0.0, (), gap + 0.001)] == [near, far]
-    assert [state for _, state in book.rated("s", 0.0, (), gap - 0.001)] == [near]
+    gap = book.expected_seconds(far, 0.0) - book.expected_seconds(near, 0.0)
+    assert [state for _, state in book.near_best("s", 0.0, (), gap + 0.001)] == [near, far]
+    assert [state for _, state in book.near_best("s", 0.0, (), gap - 0.001)] == [near]
 
 
 def test_a_somewhat_slower_target_does_not_cost_a_message_to_one_more_hall():
