--- a/src/lineworks/forwarding/_connection_pool.py
+++ b/src/lineworks/forwarding/_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections of one instance to one target."""
+"""The pool of connections from one instance to one target."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class ConnectionPool:
-    """The connections to one target."""
+    """Holds the idle connections to one target and limits how many may be open."""
 
     def __init__(self, share: int) -> None:
         """Start without connections.
 
         Args:
-            share: Connections that this instance may hold.
+            share: Most connections that this instance may have open.
         """
         self._share = share
         self.idle: list[client_connection.ClientConnection] = []
-        """Open ones without a request, the one used last at the end."""
+        """Open connections without a request, the most recently used one last."""
         self.open = 0
-        """All that are open or being opened."""
+        """Number of connections that are open or being opened."""
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether another connection may be opened."""
         return self.open < self._share
 
     def take(self, now: float, share: float) -> client_connection.ClientConnection | None:
-        """Take the connection that was used last, if the target still waits on it.
+        """Take the most recently used connection out of the pool, if it can be reused.
 
         Args:
-            now: The present, in seconds.
-            share: Part of the target's idle time (0 to 1) within which it may be used.
+            now: The current time, in seconds.
+            share: Fraction (0 to 1) of the target's idle timeout within which it may be reused.
 
         Returns:
-            The connection, or None when a new one is needed.
+            The connection, or None if a new one is needed.
         """
         idle = self.idle
         while idle and idle[-1].is_closed:
@@ -46,10 +46,10 @@
         return None
 
     def close_expired(self, now: float) -> None:
-        """Close connections that were idle too long.
+        """Close connections that have been idle for too long.
 
         Args:
-            now: The present, in seconds.
+            now: The current time, in seconds.
         """
         for connection in self.idle:
             if not connection.is_reusable(now):
--- a/src/lineworks/forwarding/caution.py
+++ b/src/lineworks/forwarding/caution.py
@@ -1,8 +1,9 @@
-"""How carefully one try of a request goes on, by what it has done to targets so far.
+"""Holds back retries and hedges of a request that may be crashing its targets.
 
-While targets have broken off and none has answered, the request itself may be what ends them. Its
-repeats and hedges then wait: they would end the other copies of its shards as well. A search ended
-16 targets of 12 shards by its first try in this way, and 168 by the tries of 24 seconds.
+While targets have closed connections without an answer and none has answered, the request itself
+may be what crashes them. Retries and hedges then wait, because they would crash the other replicas
+of its shards as well. Without this, a single search crashed 16 targets of 12 shards with its first
+try, and 168 with all tries within 24 seconds.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
     from lineworks.forwarding import suspect_exchange
 
 REPORT_AT_LOSSES = 3
-"""Targets that broke off under a try without an answer at which the other instances are told before
-the try is over: its caller may ask one of them a few milliseconds after its end."""
+"""Number of targets lost without any answer at which other instances are informed before the try is
+over: its caller may send the next try to one of them a few milliseconds later."""
 
 MAX_READ_LOSSES = 2
-"""Targets that a request to one service may lose before it ends: a second one shows whether the
-first loss was chance, a third would only cost one more target."""
+"""Number of lost targets after which a request to one service ends. The second target shows whether
+the first loss was a coincidence; a third would only cost one more target."""
 
 
 class CrashGuard:
-    """What one try has shown of its request."""
+    """Tracks lost connections and answers during one try of a request."""
 
     def __init__(
         self,
@@ -35,10 +36,10 @@
         """Start without evidence.
 
         Args:
-            exchange: Takes what is found.
+            exchange: Receives the evidence.
             content: Fingerprint of the request.
             attempt: Identity of the try.
-            is_trial: Whether the request is a suspect.
+            is_trial: Whether the request is suspected of crashing targets.
         """
         self._exchange = exchange
         self._content = content
@@ -46,12 +47,12 @@
         self._started_as_trial = is_trial
         self._broken: dict[str, None] = {}
         self._is_answered = False
-        self._is_told = False
+        self._is_reported = False
         self._is_over = False
 
     @property
     def broken(self) -> tuple[str, ...]:
-        """Targets that broke off, each once."""
+        """Targets that closed the connection without an answer, without duplicates."""
         return tuple(self._broken)
 
     @property
@@ -61,27 +62,27 @@
 
     @property
     def is_trial(self) -> bool:
-        """Whether it may run on one target at a time only."""
+        """Whether the request may run on only one target at a time."""
         return self._started_as_trial and not self._is_answered
 
     @property
     def blocks_retries(self) -> bool:
-        """Whether repeats and hedges wait: targets broke off and none has answered."""
+        """Whether retries and hedges must wait: targets were lost and none has answered."""
         return bool(self._broken) and not self._is_answered
 
     @property
     def has_reached_loss_limit(self) -> bool:
-        """Whether a request to one service has lost as many targets as it may."""
-        most = 1 if self._started_as_trial else MAX_READ_LOSSES
-        return self.blocks_retries and len(self._broken) >= most
+        """Whether a request to one service has lost as many targets as allowed."""
+        max_losses = 1 if self._started_as_trial else MAX_READ_LOSSES
+        return self.blocks_retries and len(self._broken) >= max_losses
 
     def note_end(self, target: str, lost_before_answer: bool, found: verdict.Verdict) -> None:
-        """Take in the end of an attempt.
+        """Record the end of an attempt.
 
         Args:
             target: Identity of the target.
-            broke_off: Whether its connection ended before any byte of an answer.
-            found: What is known of the attempt.
+            lost_before_answer: Whether its connection closed before any byte of an answer.
+            found: Verdict on the attempt.
         """
         if lost_before_answer:
             self.note_broken(target)
@@ -89,13 +90,13 @@
             self.note_answer()
 
     def note_answer(self) -> None:
-        """Note that a target ran the request and answered, whatever it answered."""
+        """Record that a target ran the request and answered, whatever the answer was."""
         if not self._is_answered:
             self._is_answered = True
             self._exchange.note_answer(self._content)
 
     def note_broken(self, target: str) -> None:
-        """Note that a target broke off.
+        """Record that a target closed the connection without an answer.
 
         Args:
             target: Its identity.
@@ -104,7 +105,7 @@
             return
         self._broken[target] = None
         if (
-            self._is_told
+            self._is_reported
             or self._is_over
             or self._started_as_trial
             or len(self._broken) >= REPORT_AT_LOSSES
@@ -112,13 +113,13 @@
             self._report()
 
     def finish(self) -> None:
-        """Note that the try is over."""
+        """End the try, and report its lost targets if none has answered."""
         self._is_over = True
         self._report()
 
     def _report(self) -> None:
         if self.blocks_retries:
-            self._is_told = True
+            self._is_reported = True
             self._exchange.note_broken(
                 self._content, self.broken, self._attempt, self._started_as_trial
             )
--- a/src/lineworks/forwarding/evidence_exchange.py
+++ b/src/lineworks/forwarding/evidence_exchange.py
@@ -1,9 +1,9 @@
-"""Gathers what the instances of a data hall saw of slow targets at one of them, the keeper.
+"""Collects the observations of slow targets in a data hall at one of its instances, the keeper.
 
-A report goes to the keeper only, one message in place of one to each instance of the hall, which
-would be 233 at 2,100 instances. The keeper tells the hall what it makes of several reports, which
-is rare. Whoever is sent reports acts as keeper. What reports are worth is decided in
-`lineworks.decisions.target_evidence`.
+A report is sent to the keeper only: one message rather than one to each instance of the hall, which
+would be 233 messages at 2,100 instances. The keeper broadcasts to the hall only what it concludes
+from several reports, which is rare. Any instance that receives reports acts as keeper. How reports
+are weighed is decided in `lineworks.decisions.target_evidence`.
 """
 
 from __future__ import annotations
@@ -23,48 +23,48 @@
     from lineworks.services import peer_links
 
 BATCH_SECONDS = 0.05
-"""Seconds for which reports and beliefs are gathered before they go out in one message."""
+"""Seconds for which reports and beliefs are collected into one message."""
 
 REPEAT_SECONDS = 1.0
-"""Seconds before the same is told again of a target."""
+"""Seconds before the same observation of a target is sent again."""
 
 MOST_NAMED = 6
-"""Targets that a log line names at most."""
+"""Most targets that a log line names."""
 
 _log = structlog.get_logger(component="evidence")
 
 
 class _Outbox:
-    """Sightings that wait to be told; the same is told once in a while."""
+    """Observations waiting to be sent, without those that were sent a short while ago."""
 
     def __init__(self) -> None:
-        self._news: dict[str, target_evidence.Sighting] = {}
-        self._told: dict[str, tuple[target_evidence.Kind, float]] = {}
+        self._pending: dict[str, target_evidence.Sighting] = {}
+        self._sent: dict[str, tuple[target_evidence.Kind, float]] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing waits."""
-        return not self._news
+        """Whether nothing is waiting."""
+        return not self._pending
 
     def add(self, sighting: target_evidence.Sighting, now: float) -> bool:
-        """Take in a sighting; say whether it will be told."""
-        kind, at = self._told.get(sighting.target, (None, 0.0))
+        """Add an observation, and return whether it will be sent."""
+        kind, at = self._sent.get(sighting.target, (None, 0.0))
         if kind is sighting.kind and now - at < REPEAT_SECONDS:
             return False
-        self._told[sighting.target] = (sighting.kind, now)
-        self._news[sighting.target] = sighting
+        self._sent[sighting.target] = (sighting.kind, now)
+        self._pending[sighting.target] = sighting
         return True
 
     def take(self, now: float) -> tuple[target_evidence.Sighting, ...]:
-        """Take out all that waits, and forget what was told long ago."""
-        news, self._news = tuple(self._news.values()), {}
+        """Remove and return all that is waiting, and forget what may be sent again."""
+        observations, self._pending = tuple(self._pending.values()), {}
         oldest = now - REPEAT_SECONDS
-        self._told = {target: told for target, told in self._told.items() if told[1] > oldest}
-        return news
+        self._sent = {target: sent for target, sent in self._sent.items() if sent[1] > oldest}
+        return observations
 
 
 class EvidenceExchange:
-    """The reports of one instance, and those that it gathers as keeper."""
+    """Sends one instance's reports, and collects those of others while it is the keeper."""
 
     def __init__(
         self,
@@ -76,16 +76,16 @@
         keeper: extra_keeper.ExtraKeeper,
         sightings: target_sightings.TargetSightings,
     ) -> None:
-        """Start with nothing to tell.
+        """Start without reports.
 
         Args:
             reactor: Twisted's reactor.
             name: Name of this instance.
             hall: Its data hall.
             links: Links to the other instances.
-            peers: Tells which of them are heard of.
-            keeper: Names the keeper of the hall.
-            sightings: Takes what is believed, and tells what this instance sees.
+            peers: Knows which of them are alive.
+            keeper: Chooses the keeper of the hall.
+            sightings: Provides this instance's observations and stores what is believed.
         """
         self._reactor = reactor
         self._name = name
@@ -97,25 +97,27 @@
         self._reports = _Outbox()
         self._beliefs = _Outbox()
         self.counts: collections.Counter[str] = collections.Counter()
-        """Reports sent to the keeper and taken in as keeper, beliefs told and taken over."""
+        """Reports sent to the keeper and weighed as keeper, beliefs sent and received."""
         sightings.on_sighting = self._on_sighting
         links.handle(node_frames.TargetReports, self._on_reports)
 
     def _on_sighting(self, sighting: target_evidence.Sighting) -> None:
-        """Note what this instance saw of a target, to tell it soon."""
+        """Schedule a report of what this instance observed."""
         was_empty = self._reports.is_empty
         if self._reports.add(sighting, self._reactor.seconds()) and was_empty:
             self._reactor.callLater(BATCH_SECONDS, self._send_reports)
 
     def _send_reports(self) -> None:
-        """Tell the keeper what was seen."""
+        """Send the collected reports to the keeper, or weigh them here if it can't be reached."""
         now = self._reactor.seconds()
-        news = self._reports.take(now)
+        observations = self._reports.take(now)
         keeper = self._keeper.choose()
-        if keeper != self._name and self._links.send(keeper, node_frames.TargetReports(news)):
-            self.counts["reported"] += len(news)
+        if keeper != self._name and self._links.send(
+            keeper, node_frames.TargetReports(observations)
+        ):
+            self.counts["reported"] += len(observations)
         else:
-            self._aggregate(news, self._name, now)
+            self._aggregate(observations, self._name, now)
 
     def _on_reports(self, link: Any, frame: node_frames.TargetReports) -> None:
         now = self._reactor.seconds()
@@ -129,7 +131,7 @@
     def _aggregate(
         self, sightings: Iterable[target_evidence.Sighting], origin: str, now: float
     ) -> None:
-        """Take in reports as keeper, and tell the hall soon what they change."""
+        """Weigh reports as keeper, and schedule a message to the hall for each change of belief."""
         for sighting in sightings:
             self.counts["weighed"] += 1
             if self._evidence.note(sighting, origin, now):
@@ -144,11 +146,11 @@
             self._reactor.callLater(BATCH_SECONDS, self._send_beliefs)
 
     def _send_beliefs(self) -> None:
-        news = self._beliefs.take(self._reactor.seconds())
-        frame = node_frames.TargetReports(news, is_belief=True)
+        observations = self._beliefs.take(self._reactor.seconds())
+        frame = node_frames.TargetReports(observations, is_belief=True)
         peers = self._peers.able(self._hall)
         for peer in peers:
             self._links.send(peer, frame)
-        self.counts["beliefs_told"] += len(news)
-        named = [f"{one.target} {one.kind.name.lower()}" for one in news[:MOST_NAMED]]
-        _log.info("targets_believed", count=len(news), targets=named, told=len(peers))
+        self.counts["beliefs_told"] += len(observations)
+        named = [f"{one.target} {one.kind.name.lower()}" for one in observations[:MOST_NAMED]]
+        _log.info("targets_believed", count=len(observations), targets=named, told=len(peers))
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -1,7 +1,7 @@
-"""One request to one target: chosen, perhaps tried again, and passed back byte for byte.
+"""Forwards a request to one target of a service, with retries and hedges.
 
-A request that may run only once is sent again only when its target, or the lack of a connection,
-proves that it has not run.
+The target's response is returned byte for byte. A request that may run only once is sent again only
+if the target's answer, or a failure to connect, proves that it has not run.
 """
 
 from __future__ import annotations
@@ -24,18 +24,19 @@
     from lineworks.http1 import client_connection
 
 ROOM_PAUSE = 0.02
-"""Seconds between looks for a target with room."""
+"""Seconds between attempts to find a target with spare capacity."""
 
 WAIT_SHARE = 0.2
-"""Share of the aim that a request waits for a target with room before it is refused: a refusal
-within a quarter of the aim still leaves time for another try."""
+"""Fraction of the route's latency objective for which a request waits for a target with spare
+capacity before it is refused: a refusal within a quarter of the objective still leaves time for
+another try."""
 
 MAX_ATTEMPTS = 6
-"""Attempts at one request in all, refused ones included."""
+"""Most attempts at one request, refused ones included."""
 
 
 class SingleRequest:
-    """One request under way."""
+    """One request to one target, from its arrival to its outcome."""
 
     def __init__(
         self,
@@ -47,14 +48,14 @@
         arrived: float,
         on_end: Callable[[outcome.Outcome], None],
     ) -> None:
-        """Make a request; nothing is sent yet.
+        """Prepare the request without sending anything.
 
         Args:
-            shared: What the front's requests share.
+            shared: State and tools that the front's requests share.
             route: The route.
-            service: Service that gets it.
-            call: The request as a target gets it.
-            care: How carefully it goes on.
+            service: Service that the request is for.
+            call: The request in the form that targets get it.
+            guard: Holds back retries and hedges while the request may be crashing targets.
             arrived: When its first byte was read, in seconds.
             on_end: Called once with the outcome, unless the request is cancelled.
         """
@@ -70,7 +71,7 @@
         self._tried: set[str] = set()
         self._extra_requests = 0
         self._timers: list[Any] = []
-        self._known: list[verdict.Verdict] = []
+        self._verdicts: list[verdict.Verdict] = []
         self._failures: list[str] = []
         self._failure: client_connection.Response | None = None
         self._target = ""
@@ -84,13 +85,13 @@
         self._leave_line: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        """Send the first attempt."""
+        """Send the first attempt, or wait for spare capacity."""
         shared = self._shared
         now = shared.reactor.seconds()
         shared.extra.note_request(self._service, now)
         self._set_timer(self._call.deadline - now, self._on_deadline)
         if shared.line.is_behind(self._claim, (self._service,)):
-            self._wait_for_room()
+            self._wait_for_capacity()
         else:
             self._send_or_wait()
         is_hedged = mechanisms.Mechanism.READ_HEDGES not in shared.without
@@ -99,26 +100,26 @@
             self._set_timer(delay, self._on_hedge)
 
     def known(self) -> verdict.Verdict:
-        """Tell what is known of the request while it is under way."""
+        """Return a verdict on the request while it is under way."""
         count = len(self._made)
         detail = f"{count} attempts, {len(self._running)} of them not answered"
         return verdict.Verdict(attempts.certainty(self._made), verdict.Reason.LEAVING, detail)
 
     def end(self) -> None:
-        """Answer with what is known, because the process ends."""
+        """Answer with what is known so far, because the process is stopping."""
         if self._on_end is None:
             return
         if self._failure is not None and not self._running:
-            self._return_response(self._failure, self._known[-1])
+            self._return_response(self._failure, self._verdicts[-1])
             return
         self._give_up_running()
         found = outcome.refuse(self.known(), len(self._made), outcome.STOP_RETRY_AFTER)
         self._end(found)
 
     def cancel(self) -> None:
-        """Give the request up, because its caller has gone.
+        """Give up the request, because its caller has closed the connection.
 
-        One that may run only once goes on at its target, so that it ends there in order.
+        A request that may run only once continues on its target, so that it completes there.
         """
         self._on_end = None
         self._guard.finish()
@@ -128,7 +129,7 @@
         self._timers.append(self._shared.reactor.callLater(max(0.0, delay), call))
 
     def _send_or_wait(self) -> None:
-        """Send an attempt to the best target; wait a little for one with room, or refuse."""
+        """Send an attempt to the best target; without one, wait for capacity or refuse."""
         if self._on_end is None or self._running:
             return
         now = self._shared.reactor.seconds()
@@ -139,11 +140,11 @@
         if state is not None:
             self._send(state, now, is_hedge=False)
         elif self._may_wait(now):
-            self._wait_for_room()
+            self._wait_for_capacity()
         else:
-            self._refuse_for_room(now)
+            self._refuse_without_capacity(now)
 
-    def _refuse_for_room(self, now: float) -> None:
+    def _refuse_without_capacity(self, now: float) -> None:
         shared = self._shared
         if not self._made:
             shared.line.note_refused(self._call.workspace)
@@ -152,8 +153,8 @@
         pause = shared.line.retry_after(outcome.RETRY_AFTER)
         self._finish_without(found.reason, found.detail, pause)
 
-    def _wait_for_room(self) -> None:
-        """Look again soon: in its turn where room is shared between workspaces."""
+    def _wait_for_capacity(self) -> None:
+        """Try again soon, or in turn if capacity is shared fairly between workspaces."""
         line = self._shared.line
         if line.is_fair:
             self._leave_line = line.wait(self._claim, (self._service,), self._send_or_wait)
@@ -192,7 +193,7 @@
             self._target = attempt.state.id
             self._return_response(end.response, end.verdict)
             return
-        self._known.append(end.verdict)
+        self._verdicts.append(end.verdict)
         self._failures.append(
             f"{attempt.state.id} {end.verdict.reason.value}: {end.verdict.detail}"
         )
@@ -206,7 +207,7 @@
         self._shared.record_answer(self._route.name, is_remote, attempt.started, attempt.is_hedge)
 
     def _retry_or_finish(self, last: verdict.Verdict) -> None:
-        """After the last attempt failed: try once more, or tell the caller."""
+        """Retry after all attempts failed, or return the failure to the caller."""
         if self._may_retry(last) and self._has_extra(last):
             self._shared.counters.retries += 1
             self._send_or_wait()
@@ -223,10 +224,11 @@
         if not last.is_not_run and not self._call.is_repeatable:
             return False
         if self._guard.has_reached_loss_limit:
-            # The request itself may be what ends its targets.
+            # The request itself may be what crashes its targets.
             return False
         if not attempts.has_target_left(self._made, self._route.max_attempts):
-            # Its targets failed just now; the caller learns so at once instead of a repeat there.
+            # Only targets that have just failed are left: the caller gets the failure at once
+            # rather than after a retry on them.
             return False
         if len(self._made) >= MAX_ATTEMPTS or now + ROOM_PAUSE >= self._call.deadline:
             return False
@@ -242,7 +244,10 @@
         )
 
     def _has_extra(self, last: verdict.Verdict) -> bool:
-        """Pay for another attempt; one in place of an attempt that reached no target is free."""
+        """Spend retry budget on another attempt.
+
+        An attempt that replaces one that never reached a target is free.
+        """
         shared = self._shared
         is_free = mechanisms.Mechanism.FREE_RETRIES not in shared.without
         if is_free and not answers.was_sent(last):
@@ -258,12 +263,12 @@
         self._shared.ask_for_retry(self._service, self._call.workspace, on_reply)
 
     def _on_retry_granted(self, last: verdict.Verdict) -> None:
-        """Go on after an extra attempt was asked for."""
+        """Retry or finish after the request for an extra attempt was answered."""
         if self._on_end is not None and not self._running:
             self._retry_or_finish(last)
 
     def _on_hedge(self) -> None:
-        """Ask a second target while the first is slow."""
+        """Send a hedge to a second target while the first one is slow."""
         if self._on_end is None or len(self._running) != 1:
             return
         if self._guard.is_trial or self._guard.blocks_retries:
@@ -295,7 +300,7 @@
     def _return_response(
         self, response: client_connection.Response, found: verdict.Verdict
     ) -> None:
-        """Give the caller a target's answer unchanged."""
+        """Return a target's response to the caller unchanged."""
         is_false_promise = headers.is_promise(response.status) and not found.is_not_run
         if is_false_promise and not self._call.is_repeatable:
             self._finish_without(found.reason, f"the target ran it and answered {response.status}")
@@ -310,7 +315,7 @@
     def _finish_without(
         self, reason: verdict.Reason, detail: str, retry_after: float | None = None
     ) -> None:
-        certainty = verdict.combine(self._known)
+        certainty = verdict.combine(self._verdicts)
         found = verdict.Verdict(certainty, reason, detail)
         self._end(outcome.refuse(found, len(self._made), retry_after))
 
@@ -331,7 +336,7 @@
             on_end(described)
 
     def _over_limit(self) -> tuple[str, ...]:
-        """Tell of the attempts when more targets may have run it than the route allows."""
+        """Describe the attempts if more targets may have run them than the route allows."""
         if not attempts.exceeds_target_limit(self._made, self._route.max_attempts):
             return ()
         return (attempts.describe(self._service, self._made),)
@@ -346,7 +351,7 @@
             self._give_up_running()
 
     def _give_up_running(self) -> None:
-        """Cancel the attempts under way, and note which of them reached no connection."""
+        """Cancel the attempts under way, and record which of them were never sent."""
         for attempt in self._running:
             attempts.give_up(attempt)
         self._running.clear()
--- a/src/lineworks/forwarding/target_book.py
+++ b/src/lineworks/forwarding/target_book.py
@@ -1,7 +1,8 @@
-"""The targets as one instance sees them: who there is, how they do, and which one to ask.
+"""The targets known to one instance, their recent performance, and the choice between them.
 
-A front keeps a record of every target that it asked, directly or through a gatherer. What a
-target took lately decides, together with the way to its hall, which replica of a shard is asked.
+A front keeps a record of every target that it sent requests to, directly or through a gatherer.
+The replica of a shard is chosen by the recent latency of the targets and the round trip to their
+halls.
 """
 
 from __future__ import annotations
@@ -28,56 +29,60 @@
     from lineworks.decisions import target_view
 
 LOCALITY_SLACK_SECONDS = 0.015
-"""Seconds that a target may always be slower than the best when that saves asking another hall."""
+"""Seconds by which a target may be slower than the best one if choosing it saves a message to
+another hall."""
 
 LATENCY_WEIGHT = 0.25
-"""Weight of one sample in a target's average."""
+"""Weight of one sample in the moving average of a target's latency."""
 
 MAX_SAMPLE_FACTOR = 3.0
-"""One answer counts at most as this multiple of what is known of its target: a pause of a quarter
-of a second says little of the next answer, while a slow target gets there within a few."""
+"""A latency sample is capped at this multiple of the known latency of its target. A single pause of
+a quarter of a second says little about the next answer, while the average of a target that is
+really slow still rises within a few samples."""
 
 SERVICE_WEIGHT = 0.05
-"""Weight of one sample in a service's average."""
+"""Weight of one sample in the moving average of a service's latency."""
 
 ERROR_WEIGHT = 0.15
-"""Weight of one outcome in a target's share of failures."""
+"""Weight of one outcome in the moving average of a target's failure rate."""
 
 ERROR_PENALTY_SECONDS = 0.3
-"""Seconds that a target with nothing but failures counts as slower: about one more try."""
+"""Seconds added to the estimate of a target whose requests all fail: about the time of one retry.
+"""
 
 STALL_FACTOR = 2.5
-"""A target without progress for this many usual service times counts as stalled."""
+"""A target that makes no progress for this multiple of the usual service time counts as stalled."""
 
 STALL_FLOOR_SECONDS = 0.04
-"""Seconds without progress that are never a stall."""
+"""Seconds without progress up to which a target never counts as stalled."""
 
 ANSWER_TIME_FACTOR = 1.5
-"""Usual service times that one more answer is expected to take."""
+"""Multiple of the usual service time within which an answer is expected."""
 
 COLD_PENALTY_SECONDS = 0.03
-"""Seconds that a target counts as slower while it has just started."""
+"""Seconds added to the estimate of a target that is cold."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BookChange:
-    """What an update changed."""
+    """What an update of a `TargetBook` changed."""
 
     added: list[target_state.TargetState]
-    """Targets that came."""
+    """Targets that are new."""
 
     leaving: list[target_state.TargetState]
-    """Targets that take no new work since now."""
+    """Targets that stopped accepting new work with this update."""
 
     gone: list[target_state.TargetState]
-    """Targets that are gone."""
+    """Targets that were removed."""
 
     ended: list[target_state.TargetState]
-    """Of those, the ones whose identity another process has now: all their work ended with them."""
+    """Removed targets whose identity now belongs to another process: their process has ended, and
+    all its work with it."""
 
 
 class TargetBook:
-    """All targets by service."""
+    """Keeps the state of all targets, by service, and chooses the targets of requests."""
 
     def __init__(
         self,
@@ -91,27 +96,27 @@
 
         Args:
             hall: Data hall of this instance.
-            regions: For each hall, its region.
-            rng: Breaks ties.
+            regions: Region of each hall.
+            rng: Random numbers that break ties.
             without: Mechanisms that are switched off.
-            cold: What this instance may send to cold targets; nothing where none is given.
+            cold: Limits what this instance sends to cold targets; None allows it nothing.
         """
         self.cold = cold or cold_targets.ColdAllowance("", cold_targets.ColdBound())
-        """What this instance may send to cold targets."""
+        """Limits what this instance sends to cold targets."""
         self._knows_load = mechanisms.Mechanism.LOAD_REPORTS not in without
         self._avoids_slow = mechanisms.Mechanism.SLOW_AVOIDANCE not in without
         self.ways = hall_ways.HallWays(hall, regions)
-        """The ways to the targets' halls."""
+        """Network round trips to the targets' halls."""
         self._rng = rng
         self._states: dict[str, target_state.TargetState] = {}
-        # Whether any service tells what its cold targets can handle.
+        # Whether any service limits the rate of requests to its cold targets.
         self._limits_cold = False
         self._by_service: dict[str, list[target_state.TargetState]] = {}
         self._service_times: dict[str, estimators.Average] = {}
         self.sightings = target_sightings.TargetSightings(
             mechanisms.Mechanism.SHARED_EVIDENCE not in without
         )
-        """What this instance and others saw of slow targets."""
+        """What this instance and others observed about slow targets."""
 
     def update(
         self,
@@ -120,16 +125,16 @@
         evacuated: Collection[str] = (),
         now: float = 0.0,
     ) -> BookChange:
-        """Replace the set of targets; what is known of those that stay is kept.
+        """Replace the set of targets, keeping the state of those that remain.
 
         Args:
-            entries: The targets' entries.
+            entries: Entries of all targets.
             services: The configured services.
             evacuated: Data halls whose targets get no new work.
-            now: The present, in seconds.
+            now: The current time, in seconds.
 
         Returns:
-            Targets that came, that are leaving since now, that are gone, and that have ended.
+            Targets that were added, started to leave, were removed, or have ended.
         """
         self._limits_cold = any(spec.cold_rate > 0 for spec in services.values())
         added: list[target_state.TargetState] = []
@@ -155,8 +160,8 @@
             state.is_cold = entry.is_cold
             state.cold_rate = spec.cold_rate if spec is not None else 0.0
             if state.is_evacuated and spec is not None and entry.hall not in evacuated:
-                # The entries of a hall that turned cold meanwhile may say so only later, and all
-                # instances turn to it at once.
+                # Targets of the hall may have turned cold meanwhile, and their entries may report
+                # it only later, while all instances send requests to the hall again at once.
                 state.assumed_cold_until = now + spec.cold_seconds
             state.is_evacuated = entry.hall in evacuated
             present[entry.life] = state
@@ -184,17 +189,17 @@
         excluded: Collection[str],
         homes: Collection[str] = routes.ANYWHERE,
     ) -> list[target_state.TargetState]:
-        """List the targets of a service that may be asked now.
+        """List the targets of a service that a request may be sent to now.
 
         Args:
             service: The service.
-            now: The present, in seconds.
-            excluded: Identities of targets that were tried.
+            now: The current time, in seconds.
+            excluded: Identities of targets that were tried already.
             homes: Home regions of the request.
 
         Returns:
-            Targets with room that are neither leaving nor resting; stalled ones only if there is
-            no other.
+            Targets with spare capacity that are neither leaving nor backed off. Stalled targets
+            are included only if there are no others.
         """
         candidates = self._with_capacity(service, now, excluded, homes)
         if self._limits_cold:
@@ -212,9 +217,10 @@
     def _accepting_work(
         self, service: str, homes: Collection[str] = routes.ANYWHERE
     ) -> list[target_state.TargetState]:
-        """List the targets that may get a request at all, now or when they have room.
+        """List the targets that may get a request at all, now or once they have capacity.
 
-        The one place that says so: requests with home regions left them wherever it was forgotten.
+        All choices go through this function. Where a caller had filtered on its own and forgotten
+        the home regions, requests were sent outside them.
         """
         taking = [
             state
@@ -228,7 +234,7 @@
     def _with_capacity(
         self, service: str, now: float, excluded: Collection[str], homes: Collection[str]
     ) -> list[target_state.TargetState]:
-        """List the targets with room that are not resting, stalled or not."""
+        """List the targets with spare capacity that are not backed off, stalled or not."""
         candidates = []
         for state in self._accepting_work(service, homes):
             replica = state.replica
@@ -244,15 +250,18 @@
         return not is_cold_limited or self.cold.may_send(state.id, state.cold_rate, now)
 
     def is_full_in_hall(self, hall: str, service: str, now: float) -> bool:
-        """Say whether a target of one hall could be asked but for the requests under way there.
+        """Return whether waiting for capacity in a hall is of use: it has a healthy target.
+
+        Capacity itself is not checked: a request that found none asks whether to wait for it.
 
         Args:
             hall: The hall.
             service: The service.
-            now: The present, in seconds.
+            now: The current time, in seconds.
 
         Returns:
-            Whether one is lively and full.
+            Whether the hall has a target of the service that is neither backed off, stalled nor
+            limited because it is cold.
         """
         stall_seconds = self.stall_seconds(service)
         return any(
@@ -264,29 +273,29 @@
         )
 
     def find(self, target: str) -> target_state.TargetState | None:
-        """Find a target.
+        """Look up a target.
 
         Args:
             target: Identity of its process.
 
         Returns:
-            Its state, or None where it is not known, or not any more.
+            Its state, or None if it is unknown or was removed.
         """
         return self._states.get(target)
 
     def has_any(self, service: str, homes: Collection[str] = routes.ANYWHERE) -> bool:
-        """Say whether a service has a target, in some home regions, that takes new work."""
+        """Return whether a service has a target in some home regions that accepts new work."""
         return bool(self._accepting_work(service, homes))
 
     def describe(self, service: str, now: float) -> str:
-        """Tell, for logs, what keeps the targets of a service from being asked.
+        """Describe why the targets of a service can't be sent requests, for logs and callers.
 
         Args:
             service: The service.
-            now: The present, in seconds.
+            now: The current time, in seconds.
 
         Returns:
-            One clause for each target, by name.
+            One clause for each target, with its name.
         """
         states = self._by_service.get(service, ())
         if not states:
@@ -302,16 +311,16 @@
         excluded: Collection[str],
         homes: Collection[str] = routes.ANYWHERE,
     ) -> target_state.TargetState | None:
-        """Choose the target of a service that should answer first.
+        """Choose the target of a service that is expected to answer first.
 
         Args:
             service: The service.
-            now: The present, in seconds.
-            excluded: Identities of targets that were tried.
+            now: The current time, in seconds.
+            excluded: Identities of targets that were tried already.
             homes: Home regions of the request.
 
         Returns:
-            The target, or None when none may be asked.
+            The target, or None if no target is usable.
         """
         return self._fastest(self.usable(service, now, excluded, homes), now)
 
@@ -322,16 +331,16 @@
         wanted: Collection[str],
         homes: Collection[str] = routes.ANYWHERE,
     ) -> target_state.TargetState | None:
-        """Choose one of some targets of a service.
+        """Choose one of the given targets of a service.
 
         Args:
             service: The service.
-            now: The present, in seconds.
+            now: The current time, in seconds.
             wanted: Identities of the targets.
             homes: Home regions of the request.
 
         Returns:
-            The one that should answer first, or None when none of them may be asked.
+            The target that is expected to answer first, or None if none of them is usable.
         """
         candidates = [state for state in self.usable(service, now, (), homes) if state.id in wanted]
         return self._fastest(candidates, now)
@@ -339,17 +348,18 @@
     def choose_in_hall(
         self, hall: str, service: str, now: float, takes_stalled: bool
     ) -> target_state.TargetState | None:
-        """Choose the target of a service in one hall that should answer first.
+        """Choose the target of a service in one hall that is expected to answer first.
 
         Args:
             hall: The hall.
             service: The service.
-            now: The present, in seconds.
-            takes_stalled: Whether a stalled target is asked though one in another hall is not
-                stalled: a hedge has its reason, while a first attempt had better go there.
+            now: The current time, in seconds.
+            takes_stalled: Whether a stalled target may be chosen although another hall has one
+                that is not stalled. A hedge is sent to this hall for a reason, while a first
+                attempt is better sent to the other hall.
 
         Returns:
-            The target, or None when none of the hall may be asked.
+            The target, or None if no target in the hall is usable.
         """
         anywhere = routes.ANYWHERE
         found = (
@@ -391,17 +401,17 @@
         slack: float,
         homes: Collection[str] = routes.ANYWHERE,
     ) -> list[tuple[float, target_state.TargetState]]:
-        """List the targets of a service that should answer about as fast as the best.
+        """List the targets of a service that are expected to answer about as fast as the best.
 
         Args:
             service: The service.
-            now: The present, in seconds.
-            excluded: Identities of targets that were tried.
-            slack: Seconds that a target may be slower than the best one.
+            now: The current time, in seconds.
+            excluded: Identities of targets that were tried already.
+            slack: Seconds by which a target may be slower than the best one.
             homes: Home regions of the request.
 
         Returns:
-            Targets within the slack of the best one, each with the seconds expected of it.
+            Targets within the slack, each with its expected response time in seconds.
         """
         usual = self.service_time(service)
         usable = self.usable(service, now, excluded, homes)
@@ -411,16 +421,16 @@
         return [(seconds, state) for seconds, state in candidates if seconds <= best + slack]
 
     def min_seconds(self, state: target_state.TargetState) -> float:
-        """Tell how long a target takes at least, with the way there and back, in seconds."""
+        """Return the least time that a target takes to answer, round trip included, in seconds."""
         usual = self.service_time(state.replica.target.service)
         return usual / 2 + self.ways.round_trip(state.hall)
 
     def expected_seconds(self, state: target_state.TargetState, now: float) -> float:
-        """Estimate how long a target takes to answer, with the way there and back.
+        """Estimate how long a target takes to answer, round trip included.
 
         Args:
             state: The target.
-            now: The present, in seconds.
+            now: The current time, in seconds.
 
         Returns:
             Seconds.
@@ -431,9 +441,9 @@
     def _estimate(
         self, state: target_state.TargetState, now: float, usual: float, has_reports: bool
     ) -> float:
-        """Estimate it with the usual time of the service, and whether anything was told, at hand.
+        """Estimate the response time, given what callers look up once for all targets.
 
-        A search over 135 shards asks 405 to 1,215 times before anything is sent.
+        A search over 135 shards calls this 405 to 1,215 times before anything is sent.
         """
         replica = state.replica
         target = replica.target
@@ -442,8 +452,10 @@
         if self._avoids_slow:
             expected_seconds += (state.latency.value - usual) * weight
         if has_reports:
-            told = self.sightings.reported_seconds(target.name, state.last_outcome_at, now, usual)
-            expected_seconds = max(expected_seconds, told)
+            reported = self.sightings.reported_seconds(
+                target.name, state.last_outcome_at, now, usual
+            )
+            expected_seconds = max(expected_seconds, reported)
         load = 0.0
         if self._knows_load:
             load = replica.load(now) if replica.foreign else replica.in_flight
@@ -458,32 +470,33 @@
         return expected_seconds + self.ways.cost(target.hall)
 
     def service_time(self, service: str) -> float:
-        """Tell how long the targets of a service usually take, in seconds; 0 when unknown."""
+        """Return the average latency of a service's targets, in seconds; 0 if unknown."""
         found = self._service_times.get(service)
         return found.value if found is not None else 0.0
 
     def usual_answer(self, services: Iterable[str]) -> float:
-        """Tell how long the slowest of some services usually takes, with the longest way.
+        """Return how long the slowest of some services usually takes to answer from afar.
 
         Args:
             services: The services.
 
         Returns:
-            Seconds; only those of the way while nothing is known of the services.
+            Seconds, with the longest round trip to any hall; only that round trip while no
+            latency of the services is known.
         """
         slowest = max((self.service_time(service) for service in services), default=0.0)
         return self.ways.farthest + ANSWER_TIME_FACTOR * slowest
 
     def stall_seconds(self, service: str) -> float:
-        """Tell after how many seconds without progress a target of a service is stalled."""
+        """Return the seconds without progress after which a target of a service is stalled."""
         return max(STALL_FLOOR_SECONDS, STALL_FACTOR * self.service_time(service))
 
     def note_answer(self, state: target_state.TargetState, now: float, seconds: float) -> None:
-        """Note that a target answered with success.
+        """Record a successful answer.
 
         Args:
             state: The target.
-            now: The present, in seconds.
+            now: The current time, in seconds.
             seconds: How long it took.
         """
         service = state.replica.target.service
@@ -493,28 +506,28 @@
         self.sightings.note_answer(state.id, now, seconds, usual.value)
         known = max(usual.value, state.latency.value)
         usual.record(seconds)
-        # The service's average keeps the pauses, because hedges must leave time for them.
+        # Samples of the service's average are not capped: hedges must leave time for pauses.
         state.latency.record(min(seconds, MAX_SAMPLE_FACTOR * known) if known else seconds)
         state.errors.record(0.0)
         state.last_outcome_at = now
 
     def note_failure(self, state: target_state.TargetState, now: float) -> None:
-        """Note that a target failed, refused or broke off.
+        """Record that a target failed, refused a request or lost its connection.
 
         Args:
             state: The target.
-            now: The present, in seconds.
+            now: The current time, in seconds.
         """
         state.errors.record(1.0)
         state.last_outcome_at = now
 
     def note_given_up(self, state: target_state.TargetState, now: float, seconds: float) -> None:
-        """Note that a target had not answered when it was no longer waited for.
+        """Record that a target had not answered when its request was given up.
 
         Args:
             state: The target.
-            now: The present, in seconds.
-            seconds: How long it had been waited for.
+            now: The current time, in seconds.
+            seconds: Time since the request was sent.
         """
         usual = self.service_time(state.replica.target.service)
         self.sightings.note_given_up(state.id, now, seconds, usual)
--- a/src/lineworks/forwarding/target_calls.py
+++ b/src/lineworks/forwarding/target_calls.py
@@ -1,8 +1,8 @@
-"""Sends callers' requests to targets, over connections that are kept for reuse.
+"""Sends callers' requests to targets over a pool of reusable connections.
 
 Every call ends with a verdict that says whether the target may have run the request. A request
-that must not run twice goes over a kept connection only well within the time that the target
-keeps it open, and is never sent again.
+that must not run twice is sent over a pooled connection only well within the idle timeout of the
+target, and is never sent again.
 """
 
 from __future__ import annotations
@@ -25,23 +25,26 @@
     from lineworks.forwarding import target_state
 
 UNREPEATABLE_IDLE_SHARE = 0.5
-"""Part of a target's idle time after which its connection gets no unrepeatable request."""
+"""Fraction of a target's idle timeout after which an idle connection to it is not used for a
+request that must not run twice."""
 
 MIN_SILENT_TARGETS = 4
-"""Targets that do not answer over kept connections, while none does, from which on these are taken
-to be silent for good. Pauses and slow targets rarely meet in so many without one that answers."""
+"""Number of targets that must be late over reused connections, while no such connection delivers
+anything, before all of them count as silent for good. It is rare that this many targets pause or
+are slow at once without a single one answering."""
 
 SILENCE_FACTOR = 1.5
-"""Usual service times after which a target counts as one that does not answer."""
+"""Multiple of the usual service time after which an answer counts as late."""
 
 SILENCE_FLOOR_SECONDS = 0.04
-"""Seconds that an answer may always take: two ways between regions."""
+"""Seconds within which an answer is never late: two round trips between regions."""
 
 SILENCE_CHECK_SECONDS = 0.01
-"""Seconds between looks for targets that do not answer: each goes through the calls under way."""
+"""Least seconds between checks for silent connections, each of which iterates over the calls under
+way."""
 
 SWEEP_SECONDS = 1.0
-"""Seconds between looks for connections that were idle too long."""
+"""Seconds between sweeps that close connections past their idle timeout."""
 
 
 _log = structlog.get_logger(component="target_calls")
@@ -49,28 +52,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetCall:
-    """A request as every target gets it."""
+    """The part of a request that is the same for every target."""
 
     head: bytes
     """Request line and headers, without those that differ by target and without the blank line."""
 
     body: bytes
-    """The body."""
+    """Request body."""
 
     attempt: bytes
-    """Identity of the caller's try, which the answer repeats."""
+    """Identity of the caller's try, which the answer must repeat."""
 
     deadline: float
-    """Time by which an answer is of use, in seconds on this process's clock."""
+    """Time after which an answer is useless, in seconds on this process's clock."""
 
     is_repeatable: bool
     """Whether the request may run more than once."""
 
     content: str = ""
-    """Fingerprint of what is asked, which other tries may share; empty where it isn't needed."""
+    """Fingerprint of the request, the same for all tries of it; empty where it isn't needed."""
 
     workspace: str = ""
-    """Name of the workspace that it is served for; empty for none."""
+    """Workspace on whose behalf the request runs; empty for none."""
 
     has_quota: bool = False
     """Whether that workspace has a quota."""
@@ -81,14 +84,14 @@
     """How a call ended."""
 
     verdict: verdict.Verdict
-    """What is known of it."""
+    """What is known about the call, such as whether the target ran the request."""
 
     response: client_connection.Response | None = None
-    """The target's answer, if a whole one came."""
+    """The target's response, or None if no complete one was received."""
 
     lost_before_answer: bool = False
-    """Whether the connection ended after the request was sent and before any byte of an answer:
-    the target may have ended, or only the connection."""
+    """Whether the connection closed after the request was sent and before any byte of an answer:
+    either the target's process or only the connection has ended."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -104,43 +107,43 @@
 
 
 class TargetCalls:
-    """Calls and connections of one instance."""
+    """Makes the calls of one instance to targets and holds its connections to them."""
 
     def __init__(self, reactor: Any, learning: target_learning.TargetLearning) -> None:
         """Start without connections.
 
         Args:
             reactor: Twisted's reactor.
-            learning: Takes note of how targets do.
+            learning: Records how targets perform.
         """
         self._reactor = reactor
         self._learning = learning
         self._pools: dict[str, _connection_pool.ConnectionPool] = {}
         self._timer: Any = None
         self._under_way: dict[_Exchange, None] = {}
-        # Calls under way over kept connections, the oldest first.
+        # Calls under way over reused connections, the oldest first.
         self._on_reused: dict[_Exchange, None] = {}
-        # Start of the latest call that a kept connection brought an answer, or an end, to.
+        # Latest start time of a call for which a reused connection delivered an answer or closed.
         self._last_answered_start = -math.inf
         self._next_silence_check = -math.inf
         self.opened = 0
-        """Connections opened so far."""
+        """Connections opened since the start, failed attempts included."""
         self.on_silence: Callable[[], None] = lambda: None
-        """Called when open connections are found silent."""
+        """Called when the open connections turn out to be silent."""
 
     def start(self) -> None:
-        """Begin to look for connections that were idle too long."""
+        """Start the periodic sweep of idle connections."""
         self._timer = self._reactor.callLater(SWEEP_SECONDS, self._sweep)
 
     def stop(self) -> None:
-        """Close all idle connections."""
+        """Stop the sweep and close all idle connections."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         for pool in self._pools.values():
             pool.close_idle()
 
     def forget(self, target: str) -> None:
-        """Close the idle connections to a target that is gone.
+        """Close the idle connections to a target that was removed.
 
         Args:
             target: Identity of its process.
@@ -152,7 +155,7 @@
     def on_target_ended(self, state: target_state.TargetState) -> None:
         """End all calls to a target whose process is known to have ended.
 
-        Without it callers wait until their deadline where no connection tells of the end.
+        Otherwise callers would wait until their deadline whenever the connection isn't closed.
 
         Args:
             state: The target.
@@ -179,11 +182,11 @@
         Args:
             state: The target.
             call: The request.
-            on_end: Called once, never from inside this function, unless the call is cancelled.
+            on_end: Called once unless the call is cancelled, and never before this returns.
 
         Returns:
-            A function that cancels the call and what the target does for it. It says whether
-            nothing of the request was handed to a connection, so that it certainly did not run.
+            A function that cancels the call and the target's work on it. It returns whether nothing
+            of the request was written to a connection, in which case it certainly did not run.
         """
         now = self._reactor.seconds()
         self.check_silence(now)
@@ -197,26 +200,26 @@
         if connection is not None:
             self._on_reused[exchange] = None
             self._send_on(exchange, connection)
-        elif pool.has_room:
+        elif pool.has_capacity:
             self._connect(pool, exchange)
         else:
             self._reactor.callLater(0, self._on_capped, exchange)
         return lambda: self._cancel(exchange)
 
     def check_silence(self, now: float) -> None:
-        """Give up kept connections where they are silent, before anything is sent by them.
+        """Close the pooled connections if they are silent, before anything is sent over them.
 
-        A search asks gatherers first, whose links are silent as well then: those that asked them
-        within a second of the silence ended at their deadline.
+        A search calls this before it sends to gatherers, because their links are silent then as
+        well: searches that used them within a second of the silence ended at their deadline.
 
         Args:
-            now: The present, in seconds.
+            now: The current time, in seconds.
         """
         if self._are_reused_silent(now):
             self._on_connections_silent(now)
 
     def _are_reused_silent(self, now: float) -> bool:
-        """Say whether several targets owe answers over kept connections, and none gives any."""
+        """Return whether several targets are late over reused connections and none answers."""
         if now < self._next_silence_check:
             return False
         self._next_silence_check = now + SILENCE_CHECK_SECONDS
@@ -231,7 +234,7 @@
         return len(silent) >= MIN_SILENT_TARGETS
 
     def _on_connections_silent(self, now: float) -> None:
-        """Close all idle connections, so that what is sent from now on goes over new ones."""
+        """Close all idle connections, so that later requests are sent over new ones."""
         _log.warning("connections_silent", under_way=len(self._on_reused))
         self._last_answered_start = now
         for pool in self._pools.values():
@@ -260,7 +263,7 @@
     def on_connected(
         self, exchange: _Exchange, connection: client_connection.ClientConnection
     ) -> None:
-        """Send the request that a connection was opened for."""
+        """Send the request that a connection was opened for, or pool it if that was cancelled."""
         exchange.connector = None
         if exchange.on_end is None:
             self._release(exchange, connection)
@@ -270,7 +273,7 @@
     def on_connect_failed(
         self, pool: _connection_pool.ConnectionPool, exchange: _Exchange, detail: str
     ) -> None:
-        """End a call whose connection could not be opened; nothing was sent."""
+        """End a call whose connection could not be opened, so that nothing was sent."""
         pool.open -= 1
         exchange.connector = None
         if exchange.on_end is None:
@@ -332,7 +335,7 @@
             pool.idle.append(connection)
 
     def _end(self, exchange: _Exchange, end: CallEnd, is_progress: bool) -> None:
-        """Learn from a call's end and report it."""
+        """Record the outcome of a call and report it to the caller."""
         on_end = exchange.on_end
         exchange.on_end = None
         if on_end is None:
@@ -345,10 +348,10 @@
         on_end(end)
 
     def _cancel(self, exchange: _Exchange) -> bool:
-        """Give a call up; closing its connection makes the target drop the request.
+        """Cancel a call; closing its connection makes the target drop the request.
 
         Returns:
-            Whether it was under way and waited for a connection yet, over which nothing goes now.
+            Whether it was still waiting for a connection, so that nothing is sent any more.
         """
         if exchange.on_end is None:
             return False
@@ -372,7 +375,7 @@
 
 
 class _Factory(protocol.ClientFactory):
-    """Opens one connection for one call."""
+    """Makes the connection that is opened for one call."""
 
     noisy = False
 
@@ -384,17 +387,17 @@
         self._exchange = exchange
 
     def buildProtocol(self, addr: Any) -> _TargetConnection:  # noqa: N802
-        """Make the connection's end."""
+        """Make the protocol of the connection."""
         return _TargetConnection(self._calls, self._pool, self._exchange)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
-        """Report that it could not be opened."""
+        """Report that the connection could not be opened."""
         detail = type(reason.value).__name__
         self._calls.on_connect_failed(self._pool, self._exchange, detail)
 
 
 class _TargetConnection(client_connection.ClientConnection):
-    """A connection that reports when it is open, and is counted until it is closed."""
+    """A connection that reports when it opens and counts towards its pool until it closes."""
 
     def __init__(
         self, calls: TargetCalls, pool: _connection_pool.ConnectionPool, exchange: _Exchange
@@ -405,7 +408,7 @@
         self._exchange: _Exchange | None = exchange
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send the request that waits."""
+        """Report the connection, over which the waiting request is then sent."""
         super().connectionMade()
         exchange = self._exchange
         self._exchange = None
--- a/src/lineworks/forwarding/target_documents.py
+++ b/src/lineworks/forwarding/target_documents.py
@@ -1,4 +1,4 @@
-"""Changes of targets' entries as instances tell them to each other (JSON rows)."""
+"""Codec for changes of targets' entries that instances send each other, as rows of JSON."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class TargetDocumentError(ValueError):
-    """The bytes are no list of changes."""
+    """The data is not a valid list of changes."""
 
 
 def encode(changes: Iterable[target_view.TargetChange]) -> bytes:
-    """Write changes.
+    """Encode changes.
 
     Args:
         changes: The changes.
@@ -42,13 +42,13 @@
 
 
 def encode_unsettled(found: Sequence[target_view.Unsettled]) -> bytes:
-    """Write entries that are not settled.
+    """Encode entries that are not settled yet.
 
     Args:
         found: The entries.
 
     Returns:
-        JSON; empty for none.
+        JSON, or empty data if there are none.
     """
     if not found:
         return b""
@@ -57,16 +57,16 @@
 
 
 def decode_unsettled(data: bytes) -> list[target_view.Unsettled]:
-    """Read entries that are not settled.
+    """Decode entries that are not settled yet.
 
     Args:
-        data: What `encode_unsettled` wrote.
+        data: Output of `encode_unsettled`.
 
     Returns:
         The entries.
 
     Raises:
-        TargetDocumentError: It is something else.
+        TargetDocumentError: The data is malformed.
     """
     if not data:
         return []
@@ -86,16 +86,16 @@
 
 
 def decode(data: bytes) -> list[target_view.TargetChange]:
-    """Read changes.
+    """Decode changes.
 
     Args:
-        data: What `encode` wrote.
+        data: Output of `encode`.
 
     Returns:
         The changes.
 
     Raises:
-        TargetDocumentError: It is something else.
+        TargetDocumentError: The data is malformed.
     """
     try:
         return [_change(row) for row in json.loads(data)]
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -1,6 +1,7 @@
-"""Learns from calls how the targets do: who is fast, full, out of reach, slow, or gone.
+"""Updates the state of targets from the outcome of calls.
 
-Each time a target is left alone, and when it answers again, one line says so.
+Outcomes show which targets are fast, full, unreachable, slow or gone. A log line is written when a
+target is avoided, and another one when it answers again.
 """
 
 from __future__ import annotations
@@ -18,25 +19,25 @@
     from lineworks.http1 import client_connection
 
 SHED_BACKOFF_SECONDS = 0.02
-"""Seconds that a target is left alone after it refused a request for lack of room."""
+"""Seconds for which a target is not chosen after it refused a request for lack of capacity."""
 
 SLOW_FACTOR = 2.0
-"""A call given up after this many usual service times counts against its target."""
+"""A call given up after this multiple of the usual service time counts against its target."""
 
 LINES_PER_SECOND = 5.0
-"""Log lines a second on targets that are left alone or answer again."""
+"""Most log lines a second about targets that are avoided or answer again."""
 
 
 class TargetLearning:
-    """What one instance learns from its calls."""
+    """Records the outcome of one instance's calls."""
 
     def __init__(self, clock: Any, book: target_book.TargetBook, rng: random.Random) -> None:
-        """Start with nothing learned.
+        """Start without outcomes.
 
         Args:
-            clock: Tells the present, as Twisted's reactor does.
-            book: Records of the targets.
-            rng: Jitter of back-offs.
+            clock: Provides the current time, as Twisted's reactor does.
+            book: State of all targets.
+            rng: Random numbers for the jitter of back-offs.
         """
         self._book = book
         self._rng = rng
@@ -44,23 +45,23 @@
 
     @property
     def lines_left_out(self) -> int:
-        """Log lines left out since the start."""
+        """Log lines suppressed since the start."""
         return self._log.suppressed_total
 
     def usual(self, state: target_state.TargetState) -> float:
-        """Tell how long targets of its service usually take, in seconds; 0 when unknown."""
+        """Return the average latency of the target's service, in seconds; 0 if unknown."""
         return self._book.service_time(state.replica.target.service)
 
     def connect_seconds(self, state: target_state.TargetState) -> float:
-        """Tell how long to wait for a connection to a target, in seconds."""
+        """Return the connect timeout for a target, in seconds."""
         return hall_ways.connect_seconds(self._book.ways.round_trip(state.hall))
 
     def on_sent(self, state: target_state.TargetState, now: float) -> None:
-        """Count a call that is about to be sent.
+        """Count a call that is about to be sent against the limit of a cold target.
 
         Args:
             state: The target.
-            now: The present, in seconds.
+            now: The current time, in seconds.
         """
         if state.cold_rate > 0:
             self._book.cold.note_sent(state.id, now)
@@ -73,13 +74,13 @@
         now: float,
         seconds: float,
     ) -> None:
-        """Learn from a call that ended.
+        """Record the outcome of a call.
 
         Args:
             state: The target.
-            found: What is known of the call.
-            response: The target's answer, if a whole one came.
-            now: The present, in seconds.
+            found: Verdict on the call.
+            response: The target's response, or None if no complete one was received.
+            now: The current time, in seconds.
             seconds: How long it took.
         """
         if found.is_ok:
@@ -100,7 +101,7 @@
         response: client_connection.Response,
         now: float,
     ) -> None:
-        """Take in what a target says of itself in an answer."""
+        """Record the load and the warm-up time that a target reports in its answer."""
         load = headers.read_load(response.headers)
         if load is not None:
             state.replica.on_load(now, state.id, load.running + load.waiting)
@@ -112,12 +113,12 @@
             state.assumed_cold_until = max(state.assumed_cold_until, now + left)
 
     def on_given_up(self, state: target_state.TargetState, now: float, seconds: float) -> None:
-        """Learn from a call that was no longer waited for.
+        """Record a call that was given up before it ended.
 
         Args:
             state: The target.
-            now: The present, in seconds.
-            seconds: How long it had been waited for.
+            now: The current time, in seconds.
+            seconds: Time since it was sent.
         """
         usual = self._book.service_time(state.replica.target.service)
         if usual and seconds > SLOW_FACTOR * usual:
@@ -139,14 +140,14 @@
                 self._book.sightings.note_unreachable(state.id, now)
             self._log_avoided(state, now, replica.rest_until, found.reason.value, 0.0)
         elif found.reason is verdict.Reason.LEAVING:
-            # Another process has the address, so this one is gone for good.
+            # Another process listens on the address, so this one is gone for good.
             replica.is_leaving = True
             self._book.sightings.note_gone(state.id, now)
 
     def _log_avoided(
         self, state: target_state.TargetState, now: float, until: float, why: str, waited: float
     ) -> None:
-        """Say that a target is passed over for a while."""
+        """Log that a target is avoided for a while."""
         state.is_avoided = True
         self._log.info(
             "target_avoided",
@@ -160,7 +161,7 @@
         )
 
     def _log_return(self, state: target_state.TargetState) -> None:
-        """Say that a target that was passed over answers again."""
+        """Log that a target that was avoided answers again."""
         if state.is_avoided:
             state.is_avoided = False
             service = state.replica.target.service
--- a/src/lineworks/forwarding/target_sightings.py
+++ b/src/lineworks/forwarding/target_sightings.py
@@ -1,4 +1,4 @@
-"""What this instance saw of slow targets, and what it makes of what others saw."""
+"""Observations of slow targets, made by this instance or reported by others."""
 
 from __future__ import annotations
 
@@ -10,56 +10,56 @@
     from collections.abc import Callable
 
 MEMORY_HALF_LIFE = 2.0
-"""Seconds after which what is known of a target counts half, so that it is tried again."""
+"""Seconds after which an observation of a target counts half, so that the target is tried again."""
 
 
 class TargetSightings:
-    """Sightings of one instance's targets."""
+    """Collects observations of one instance's targets and shares its own with other instances."""
 
     def __init__(self, is_shared: bool) -> None:
-        """Start with nothing seen.
+        """Start without observations.
 
         Args:
-            is_shared: Whether what was seen is told and heeded.
+            is_shared: Whether observations are shared with other instances and theirs are used.
         """
         self._is_shared = is_shared
         self.evidence = target_evidence.TargetEvidence()
-        """What this instance and others saw."""
+        """Observations by this instance and others."""
         self.on_sighting: Callable[[target_evidence.Sighting], None] = lambda sighting: None
-        """Takes what this instance saw."""
+        """Called with each observation that this instance shares."""
 
     @property
     def has_reports(self) -> bool:
-        """Whether anything is believed of any target."""
+        """Whether any target is believed to be slow or gone."""
         return self._is_shared and self.evidence.has_beliefs
 
     def reported_seconds(
         self, target: str, last_outcome_at: float, now: float, usual: float
     ) -> float:
-        """Tell how long a target takes by what was said of it.
+        """Estimate the latency of a target from what was reported about it.
 
         Args:
             target: Identity of its process.
-            noted_at: When this instance last saw itself how it does, in seconds.
-            now: The present, in seconds.
-            usual: Usual time of its service, in seconds.
+            last_outcome_at: When a call of this instance to it last had an outcome, in seconds.
+            now: The current time, in seconds.
+            usual: Usual service time, in seconds.
 
         Returns:
-            Seconds; 0 when nothing was said since this instance saw it.
+            Seconds; 0 if nothing was reported since that outcome.
         """
-        told = self.evidence.slowness(target, now) if self._is_shared else None
-        if told is None or told.at <= last_outcome_at:
+        reported = self.evidence.slowness(target, now) if self._is_shared else None
+        if reported is None or reported.at <= last_outcome_at:
             return 0.0
-        return usual * (1 + (told.factor - 1) * 0.5 ** ((now - told.at) / MEMORY_HALF_LIFE))
+        return usual * (1 + (reported.factor - 1) * 0.5 ** ((now - reported.at) / MEMORY_HALF_LIFE))
 
     def note_answer(self, target: str, now: float, seconds: float, usual: float) -> None:
-        """Tell of an answer that was slow, or that shows a target called slow to be well.
+        """Share that an answer was slow, or that a target reported as slow is well again.
 
         Args:
             target: Identity of its process.
-            now: The present, in seconds.
-            seconds: How long it took.
-            usual: Usual time of its service, in seconds.
+            now: The current time, in seconds.
+            seconds: How long the answer took.
+            usual: Usual service time, in seconds.
         """
         is_fast = seconds <= target_evidence.FAST_FACTOR * usual
         if is_fast and self.evidence.is_called_slow(target):
@@ -68,34 +68,34 @@
             self.note_given_up(target, now, seconds, usual)
 
     def note_given_up(self, target: str, now: float, seconds: float, usual: float) -> None:
-        """Tell of a target that has taken long.
+        """Share that a target was slow, if it took long enough.
 
         Args:
             target: Identity of its process.
-            now: The present, in seconds.
-            seconds: How long it was waited for.
-            usual: Usual time of its service, in seconds; 0 while it is not known.
+            now: The current time, in seconds.
+            seconds: Time since the request was sent.
+            usual: Usual service time, in seconds; 0 while it is unknown.
         """
         if usual and seconds >= target_evidence.SLOW_FACTOR * usual:
             factor = seconds / usual
             self._share(target_evidence.Sighting(target, target_evidence.Kind.SLOW, factor), now)
 
     def note_unreachable(self, target: str, now: float) -> None:
-        """Tell of a target that no connection could be opened to.
+        """Share that no connection to a target could be opened.
 
         Args:
             target: Identity of its process.
-            now: The present, in seconds.
+            now: The current time, in seconds.
         """
         factor = target_evidence.MOST_FACTOR
         self._share(target_evidence.Sighting(target, target_evidence.Kind.SLOW, factor), now)
 
     def note_gone(self, target: str, now: float) -> None:
-        """Tell that another process has a target's address.
+        """Share that another process listens on a target's address.
 
         Args:
             target: Identity of the process that was expected.
-            now: The present, in seconds.
+            now: The current time, in seconds.
         """
         self._share(target_evidence.Sighting(target, target_evidence.Kind.GONE), now)
 
@@ -103,6 +103,6 @@
         if not self._is_shared:
             return
         if sighting.kind is not target_evidence.Kind.SLOW:
-            # What this instance saw itself holds here at once.
+            # The instance acts on its own observations at once.
             self.evidence.believe(sighting, now)
         self.on_sighting(sighting)
--- a/src/lineworks/forwarding/target_state.py
+++ b/src/lineworks/forwarding/target_state.py
@@ -1,4 +1,4 @@
-"""One target as an instance sees it."""
+"""The state of one target, as known to an instance."""
 
 from __future__ import annotations
 
@@ -12,73 +12,73 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class TargetState:
-    """One target as this instance sees it."""
+    """What this instance knows about one target."""
 
     replica: replicas.Replica
-    """Load, limit, back-off and stalls."""
+    """Load, concurrency limit, back-off and stalls."""
 
     latency: estimators.Average
-    """Seconds that it took lately."""
+    """Moving average of its latency, in seconds."""
 
     errors: estimators.Average
-    """Share of its answers that were failures."""
+    """Moving average of its failure rate (0 to 1)."""
 
     last_outcome_at: float = -math.inf
     """When it last answered, failed or was given up, in seconds."""
 
     is_cold: bool = False
-    """Whether it has just started."""
+    """Whether its entry says that it is still warming up."""
 
     cold_rate: float = 0.0
-    """Requests a second that it can handle while cold; 0 where nothing bounds them."""
+    """Requests a second that it can handle while cold; 0 for no limit."""
 
     assumed_cold_until: float = -math.inf
-    """Until when it counts as cold though its entry doesn't say so, in seconds."""
+    """Time until which it counts as cold even if its entry doesn't say so, in seconds."""
 
     pace: float = 1.0
-    """How long work takes there, as a multiple of what is usual, as it last said."""
+    """Duration of its work as a multiple of the usual duration, as it last reported."""
 
     pace_reported_at: float = -math.inf
-    """When it said so, in seconds."""
+    """When it reported its pace, in seconds."""
 
     is_evacuated: bool = False
-    """Whether the operators ask to send nothing more to its data hall."""
+    """Whether operators evacuated its data hall, so that it gets no new requests."""
 
     identity: str = ""
-    """Identity that a request names so that no other target runs it; its next process may have the
-    same."""
+    """Identity that requests carry so that no other target runs them. It outlives a process: the
+    next process of the target may have the same one."""
 
     is_avoided: bool = False
-    """Whether it was passed over for failures or slowness since it last answered."""
+    """Whether it has been avoided for failures or slowness since it last answered."""
 
     @property
     def id(self) -> str:
-        """Identity of the target's process, among all that had or will have its identity."""
+        """Identity of the target's process, unique among all processes with its `identity`."""
         return self.replica.target.name
 
     def is_cold_limited(self, now: float) -> bool:
-        """Say whether it is cold, and what it may get is bounded.
+        """Return whether its rate of requests is limited because it is cold.
 
         Args:
-            now: The present, in seconds.
+            now: The current time, in seconds.
 
         Returns:
-            Whether all instances together may send it no more than some requests a second.
+            Whether all instances together must keep to its `cold_rate`.
         """
         return self.cold_rate > 0 and (self.is_cold or now < self.assumed_cold_until)
 
     @property
     def hall(self) -> str:
-        """Data hall that it stands in."""
+        """Data hall of the target."""
         return self.replica.target.hall
 
 
 def unavailability(state: TargetState, now: float) -> str:
-    """Tell, for logs, what keeps a target from being asked.
+    """Describe why a target can't be sent a request, for logs and callers.
 
     Args:
         state: The target.
-        now: The present, in seconds.
+        now: The current time, in seconds.
 
     Returns:
         One clause.
