--- a/tests/test_blind_start.py
+++ b/tests/test_blind_start.py
@@ -1,4 +1,4 @@
-"""All instances start anew beside a store that does not answer, on a virtual clock."""
+"""All instances restart while the store does not answer, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 from lineworks.standins import deployment
 from tests import test_forwarding
 
-SERVED_AGAIN = 0.6
-"""Seconds after the store's return within which every instance serves: a call on a new connection
-each quarter of a second, its answer, and the first connections to the targets."""
+RECOVERY_SECONDS = 0.6
+"""Seconds after the store's recovery within which every instance serves: time for a call over a new
+connection, of which there is one each quarter of a second, its answer, and the first connections to
+the targets."""
 
-MOST_CALLS = 6.0
-"""Calls a second that an instance without knowledge may make."""
+MAX_CALLS_PER_SECOND = 6.0
+"""Calls a second to the store that an instance without any targets or configuration may make."""
 
 
 def restart_all(world):
@@ -24,14 +25,14 @@
         world.add_node(name, name.partition("-")[0])
 
 
-def begin(world, fault):
+def begin_fault(world, fault):
     if fault == "is_dark":
         world.network.host(deployment.STORE_ADDRESS).power_off()
     else:
         setattr(world.server.faults, fault, True)
 
 
-def end(world, fault):
+def end_fault(world, fault):
     if fault == "is_dark":
         host = world.network.host(deployment.STORE_ADDRESS)
         host.power_on()
@@ -40,36 +41,36 @@
         setattr(world.server.faults, fault, False)
 
 
-def start_beside(world, fault, seconds):
-    begin(world, fault)
+def restart_during_fault(world, fault, seconds):
+    begin_fault(world, fault)
     restart_all(world)
     world.run(seconds)
-    end(world, fault)
+    end_fault(world, fault)
 
 
 @pytest.mark.parametrize("seconds", [0.05, 0.3, 0.7, 1.4, 1.6, 2.1, 2.6, 4.0, 9.3])
 @pytest.mark.parametrize("fault", ["is_silent", "is_down", "is_dark"])
-def test_instances_that_start_beside_a_failing_store_serve_soon_after_its_return(fault, seconds):
+def test_instances_started_while_the_store_fails_serve_soon_after_it_recovers(fault, seconds):
     world = test_forwarding.build()
-    start_beside(world, fault, seconds)
-    world.run(SERVED_AGAIN)
+    restart_during_fault(world, fault, seconds)
+    world.run(RECOVERY_SECONDS)
     replies = [world.ask(name, path) for name in world.nodes for path in ("/read/x", "/search/q")]
     world.run(0.5)
     assert {reply.status for reply in replies} == {200}
 
 
 @pytest.mark.parametrize("fault", ["is_silent", "is_down"])
-def test_calls_to_a_failing_store_are_bounded(fault):
+def test_calls_to_a_failing_store_are_rate_limited(fault):
     world = test_forwarding.build()
     setattr(world.server.faults, fault, True)
     restart_all(world)
     before = sum(world.server.calls.values())
     world.run(10.0)
     calls = sum(world.server.calls.values()) - before
-    assert calls <= MOST_CALLS * 10 * len(world.nodes)
+    assert calls <= MAX_CALLS_PER_SECOND * 10 * len(world.nodes)
 
 
-def test_calls_to_a_store_that_refuses_for_their_rate_become_rare():
+def test_instances_back_off_from_a_store_that_refuses_calls_for_their_rate():
     world = test_forwarding.build()
     world.server.faults.is_busy = True
     restart_all(world)
@@ -79,7 +80,7 @@
     assert world.server.calls["kv-range"] - before <= 1.5 * 10 * len(world.nodes)
 
 
-def test_a_slow_store_is_not_given_up():
+def test_instances_wait_for_the_answers_of_a_slow_store():
     world = test_forwarding.build()
     world.server.faults.delay = 1.0
     restart_all(world)
@@ -90,7 +91,7 @@
 
 
 @pytest.mark.parametrize("phase", [0.1, 0.4, 0.7, 1.0, 1.3])
-def test_a_configuration_is_in_force_in_time_though_open_connections_went_silent(phase):
+def test_a_new_configuration_is_applied_in_time_though_connections_to_the_store_are_silent(phase):
     world = test_forwarding.build()
     world.run(phase)
     world.network.silence(deployment.STORE_ADDRESS)
@@ -103,7 +104,7 @@
     assert {reply.status for reply in replies} == {200}
 
 
-def test_a_blind_instance_tells_callers_to_come_back_later_than_a_busy_one():
+def test_an_instance_without_configuration_sends_its_own_longer_retry_after():
     world = test_forwarding.build()
     world.server.faults.is_silent = True
     restart_all(world)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,12 +1,9 @@
-"""Entries of other writers name no target to use, and the others hold.
+"""Malformed entries in the store are refused one by one, and valid entries stay in use.
 
-An entry with JSON nested 100,000 deep raised RecursionError, and one with a number of 400 digits
-OverflowError, past the handler of refused entries. The whole batch with the good entries was lost,
-and since the entry stayed every later look was lost as well: all six instances were blind to the
-store for good, kept targets that were withdrawn and answered 503 once those were dead.
-
-    {"error": "RecursionError('maximum recursion depth exceeded ...')", "event": "ask_failed"}
-    {"error": "OverflowError('int too large to convert to float')", "event": "ask_failed"}
+JSON nested 100,000 levels deep raised RecursionError, and a number of 400 digits OverflowError.
+Neither was caught where entries are refused, so the whole batch with its valid entries was lost.
+The entry stayed in the store, so every later read failed as well (`ask_failed` in the log): all
+six instances kept withdrawn targets and answered 503 once those had ended.
 """
 
 from __future__ import annotations
@@ -56,7 +53,7 @@
 
 
 @pytest.mark.parametrize(("name", "value"), WRONG_FIELDS)
-def test_a_field_of_another_type_or_value_is_refused(name, value):
+def test_a_field_of_the_wrong_type_or_value_is_refused(name, value):
     with pytest.raises(target_entries.EntryError):
         decode({**GOOD, name: value})
 
@@ -68,18 +65,18 @@
 
 
 @pytest.mark.parametrize("data", [DEEP, LONG, "", "null", "NaN", "[1]", '{"a":', "\x00"])
-def test_what_can_not_be_read_is_refused(data):
+def test_malformed_data_is_refused(data):
     with pytest.raises(target_entries.EntryError):
         target_entries.decode("servers/i-1", data.encode())
 
 
 @pytest.mark.parametrize("key", ["servers/", "servers/a\r\nX: y", "servers/\u00e9", "servers/a b"])
-def test_an_identity_that_no_header_can_carry_is_refused(key):
+def test_an_identity_that_is_not_a_valid_header_value_is_refused(key):
     with pytest.raises(target_entries.EntryError):
         decode(GOOD, key)
 
 
-def test_an_unknown_field_is_passed_over():
+def test_an_unknown_field_is_ignored():
     assert decode({**GOOD, "more": {"a": [1]}}).service == "shelf"
 
 
@@ -95,7 +92,7 @@
 
 
 @hypothesis.given(strategies.binary())
-def test_any_bytes_are_read_or_refused(data):
+def test_any_bytes_are_decoded_or_refused(data):
     for read in (
         lambda: target_entries.decode("servers/i-1", data),
         lambda: target_documents.decode(data),
@@ -107,7 +104,7 @@
 
 
 @hypothesis.given(strategies.dictionaries(strategies.sampled_from(list(GOOD)), VALUES))
-def test_any_structure_is_read_or_refused(changes):
+def test_any_structure_is_decoded_or_refused(changes):
     try:
         found = decode({**GOOD, **changes})
     except target_entries.EntryError:
@@ -117,7 +114,7 @@
 
 
 @hypothesis.given(strategies.lists(strategies.lists(VALUES, max_size=10), max_size=4))
-def test_any_rows_of_a_peer_are_read_or_refused(rows):
+def test_any_rows_from_a_peer_are_decoded_or_refused(rows):
     try:
         found = target_documents.decode(json.dumps(rows).encode())
     except target_documents.TargetDocumentError:
@@ -139,7 +136,7 @@
 
 @pytest.mark.parametrize("text", [DEEP, LONG, "{}", json.dumps({**GOOD, "State": "odd"})])
 @pytest.mark.parametrize("is_first", [False, True])
-def test_the_good_entries_of_a_batch_are_in_use_whatever_another_one_is(text, is_first):
+def test_a_malformed_entry_does_not_affect_valid_entries_of_its_batch(text, is_first):
     world = test_forwarding.build()
     if is_first:
         for name in list(world.nodes):
@@ -160,7 +157,7 @@
     assert all("i-odd" not in node._directory._view.entries for node in world.nodes.values())
 
 
-def test_an_entry_that_becomes_unreadable_is_used_no_more():
+def test_a_target_whose_entry_becomes_malformed_is_not_used_any_more():
     world = test_forwarding.build()
     shelf = test_forwarding.targets_of(world, "shelf")
     for target in shelf:
@@ -173,7 +170,7 @@
     assert statuses(world) == {200}
 
 
-def test_a_configuration_that_can_not_be_read_leaves_the_one_in_force():
+def test_a_malformed_configuration_leaves_the_current_one_in_force():
     world = test_forwarding.build()
     put(world, documents.CONFIGURATION_KEY, DEEP)
     world.run(3.0)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""All open connections go silent at once, without a reset, while new ones work."""
+"""All open connections stop delivering data at once, without a reset, while new ones work."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def silence_everything(world):
-    """Silence what instances have open: to the store, to targets and to each other."""
+    """Silence all open connections of the instances: to the store, to targets and to each other."""
     for name in world.nodes:
         world.network.silence(world.address_of(name))
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("path", ["/read/x", "/search/q"])
-def test_requests_soon_after_are_served(path):
+def test_requests_are_served_soon_after_all_connections_go_silent(path):
     world = warmed_up()
     silence_everything(world)
     replies = []
@@ -34,12 +34,12 @@
         replies += [world.ask(name, path, budget=1.0) for name in world.nodes]
         world.run(0.1)
     world.run(1.0)
-    # What is sent in the first tenth of a second finds out.
+    # The requests of the first tenth of a second reveal that the connections are silent.
     later = replies[len(world.nodes) :]
     assert {reply.status for reply in later} == {200}
 
 
-def test_one_silent_target_closes_no_connection_to_others():
+def test_the_silence_of_one_shards_targets_closes_no_connections():
     world = warmed_up()
     front = world.nodes["akl-1"]
     noticed = []
@@ -53,7 +53,7 @@
     assert noticed == []
 
 
-def test_links_are_built_anew():
+def test_silent_links_between_instances_are_replaced():
     world = warmed_up()
     silence_everything(world)
     world.run(8.0)
--- a/tests/test_suspensions.py
+++ b/tests/test_suspensions.py
@@ -1,4 +1,4 @@
-"""An instance that stood still for a while goes on by what it finds, not by what it knew."""
+"""An instance whose process was suspended for a while resumes without acting on outdated state."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from lineworks.standins import deployment
 from tests import test_forwarding
 
-SECONDS = (1.0, 5.0, 60.0)
+SUSPENDED_SECONDS = (1.0, 5.0, 60.0)
 
 
-def stand_still(world, name, seconds):
+def suspend(world, name, seconds):
     host = world.host_of(name)
     host.freeze()
     world.run(seconds)
     host.wake()
 
 
-@pytest.mark.parametrize("seconds", SECONDS)
-def test_an_instance_that_wakes_serves_at_once_and_holds_no_target_for_silent(seconds):
+@pytest.mark.parametrize("seconds", SUSPENDED_SECONDS)
+def test_a_resumed_instance_serves_at_once_and_does_not_take_its_targets_for_silent(seconds):
     world = test_forwarding.build()
     for _ in range(10):
         world.ask("akl-1", "/search/q")
@@ -28,7 +28,7 @@
     world.ask("akl-1", "/search/q")
     world.run(0.005)
     hedges = world.nodes["akl-1"]._counters.hedges
-    stand_still(world, "akl-1", seconds)
+    suspend(world, "akl-1", seconds)
     world.run(0.5)
     late = [world.ask("akl-1", "/search/q", attempt=f"w{number}") for number in range(5)]
     world.run(1.0)
@@ -38,8 +38,8 @@
     assert world.nodes["akl-1"]._counters.hedges - hedges <= len(test_forwarding.SHARDS)
 
 
-@pytest.mark.parametrize("seconds", SECONDS)
-def test_an_instance_that_wakes_uses_no_target_that_left_meanwhile(seconds):
+@pytest.mark.parametrize("seconds", SUSPENDED_SECONDS)
+def test_a_resumed_instance_uses_no_target_that_left_meanwhile(seconds):
     world = test_forwarding.build()
     gone = test_forwarding.targets_of(world, "shelf")[0]
     host = world.host_of("akl-1")
@@ -49,7 +49,8 @@
     world.withdraw(gone)
     world.run(0.1)
     host.wake()
-    # In touch again only some seconds after it woke; then nothing reaches the target.
+    # The instance has reconnected some seconds after it resumed; from then on it must not use the
+    # target.
     world.run(4.0)
     for number in range(6):
         world.ask("akl-1", "/read/q", attempt=f"r{number}")
@@ -60,18 +61,18 @@
     )
 
 
-@pytest.mark.parametrize("seconds", SECONDS)
-def test_credit_of_an_instance_that_stood_still_is_gone(seconds):
+@pytest.mark.parametrize("seconds", SUSPENDED_SECONDS)
+def test_a_resumed_instance_has_not_accumulated_retry_budget(seconds):
     world = test_forwarding.build()
     world.run(20.0)
     extra = world.nodes["akl-1"]._extra
     before = extra.least_left(world.clock.seconds())
-    stand_still(world, "akl-1", seconds)
+    suspend(world, "akl-1", seconds)
     assert extra.least_left(world.clock.seconds()) <= before + 1.0
 
 
-class Kept(protocol.Protocol):
-    """A caller's kept connection."""
+class CallerConnection(protocol.Protocol):
+    """A caller's open connection, which collects what it receives."""
 
     seen = b""
 
@@ -79,34 +80,34 @@
         self.seen += data
 
 
-def ask_frozen(world, path, budget, seconds):
-    """Send a request to an instance that stands still for a while, over an open connection."""
-    kept = Kept()
+def send_while_suspended(world, path, budget, seconds):
+    """Send a request over an open connection to an instance that is suspended for a while."""
+    connection = CallerConnection()
     caller = world.network.host("10.250.0.1")
-    factory = protocol.Factory.forProtocol(lambda: kept)
+    factory = protocol.Factory.forProtocol(lambda: connection)
     caller.connectTCP(world.address_of("akl-1"), deployment.CALLER_PORT, factory)
     world.run(0.1)
     host = world.host_of("akl-1")
     host.freeze()
-    kept.transport.write(documents.caller_request("GET", path, "late", budget, b""))
+    connection.transport.write(documents.caller_request("GET", path, "late", budget, b""))
     world.run(seconds)
     host.wake()
     world.run(0.05)
-    return kept
+    return connection
 
 
 @pytest.mark.parametrize("path", ["/search/q", "/read/q", "/bill/q"])
-def test_what_comes_too_late_out_of_its_socket_is_refused_at_once_as_not_run(path):
+def test_a_request_read_after_its_deadline_is_refused_at_once_as_not_run(path):
     world = test_forwarding.build()
-    assert ask_frozen(world, path, 0.5, 0.6).seen.startswith(b"HTTP/1.1 503")
+    assert send_while_suspended(world, path, 0.5, 0.6).seen.startswith(b"HTTP/1.1 503")
     world.run(1.0)
     assert world.runs_of("late") == []
 
 
-def test_what_still_has_time_when_it_is_read_is_served_within_it():
+def test_a_request_read_late_but_before_its_deadline_is_answered_by_then():
     world = test_forwarding.build(lambda: 5.0)
-    kept = ask_frozen(world, "/read/q", 1.0, 0.6)
-    assert kept.seen == b""
+    connection = send_while_suspended(world, "/read/q", 1.0, 0.6)
+    assert connection.seen == b""
     assert world.runs_of("late")
     world.run(0.35)
-    assert kept.seen.startswith(b"HTTP/1.1 504")
+    assert connection.seen.startswith(b"HTTP/1.1 504")
--- a/tests/test_target_book.py
+++ b/tests/test_target_book.py
@@ -1,4 +1,4 @@
-"""What an instance makes of its targets' answers, and which targets it would rather ask."""
+"""How the latency of answers and the distance of halls decide which target is chosen."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     return book, states
 
 
-def test_one_late_answer_does_not_make_a_target_look_slow():
-    # Found on quiet-1 of stavewright-nz: after each pause of a target its shard went to another
-    # hall for seconds, and every search asked two halls instead of one.
+def test_one_slow_answer_does_not_move_requests_to_another_hall():
+    # When single samples were not capped, each pause of a target sent the requests for its shard
+    # to another hall for seconds, so that every search used two halls instead of one.
     book, (near, far) = build()
     before = book.expected_seconds(near, 0.0)
     book.note_answer(near, 0.0, 0.25)
@@ -33,14 +33,14 @@
     assert book.expected_seconds(far, 0.0) > book.expected_seconds(near, 0.0)
 
 
-def test_a_target_that_stays_slow_is_passed_over_within_a_few_answers():
+def test_a_target_that_stays_slow_is_avoided_after_a_few_answers():
     book, (near, far) = build()
     for _ in range(6):
         book.note_answer(near, 0.0, 0.1)
     assert book.choose("s", 0.0, ()) is far
 
 
-def test_a_target_is_good_within_the_slack_of_the_best():
+def test_near_best_lists_the_targets_within_the_slack_of_the_best_one():
     book, (near, far) = build()
     for _ in range(3):
         book.note_answer(far, 0.0, 0.04)
@@ -49,10 +49,10 @@
     assert [state for _, state in book.near_best("s", 0.0, (), gap - 0.001)] == [near]
 
 
-def test_a_somewhat_slower_target_does_not_cost_a_message_to_one_more_hall():
+def test_a_search_uses_slightly_slower_targets_to_save_a_message_to_another_hall():
     world = test_forwarding.build()
     front = world.nodes["akl-1"]
-    # Of the shards without a target in akl, half look faster in wlg and half in chc.
+    # Of the shards without a target in akl, half appear faster in wlg and half in chc.
     lacking = [
         shard
         for shard in test_forwarding.SHARDS
@@ -70,7 +70,7 @@
     assert front._counters.gather_queries == before + 1
 
 
-def test_what_keeps_targets_from_being_asked_is_told_for_each():
+def test_describe_gives_the_reason_why_each_target_is_unavailable():
     book, (near, far) = build()
     assert book.describe("other", 0.0) == "no target known"
     near.replica.rest_until = 0.08
--- a/tests/test_target_probe.py
+++ b/tests/test_target_probe.py
@@ -1,4 +1,4 @@
-"""Whether a target's process still listens, asked directly and through a proxy."""
+"""Probes of whether a target's process still listens, directly and through a proxy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Closing(protocol.Protocol):
-    """A proxy with nobody behind it."""
+    """A proxy whose target is down: it accepts a connection and closes it."""
 
     def connectionMade(self):  # noqa: N802
         self.transport.loseConnection()
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(
     ("serves", "is_listening"), [(protocol.Protocol, True), (Closing, False), (None, False)]
 )
-def test_only_a_connection_that_stays_open_shows_that_a_target_lives(serves, is_listening):
+def test_only_a_connection_that_stays_open_shows_that_a_target_is_alive(serves, is_listening):
     clock = fakes.VirtualClock()
     network = memory_network.MemoryNetwork(clock, lambda sender, receiver: 0.008)
     here, there = network.host("10.0.0.1"), network.host("10.0.0.2")
@@ -33,7 +33,7 @@
     assert not here.open_transports
 
 
-def test_a_host_that_is_dark_counts_as_gone():
+def test_a_host_without_power_counts_as_not_listening():
     clock = fakes.VirtualClock()
     network = memory_network.MemoryNetwork(clock, lambda sender, receiver: 0.008)
     network.host("10.0.0.2").power_off()
