--- a/src/lineworks/forwarding/caution.py
+++ b/src/lineworks/forwarding/caution.py
@@ -85,7 +85,7 @@
             found: Verdict on the attempt.
         """
         if lost_before_answer:
-            self.note_broken(target)
+            self.note_loss(target)
         elif found.is_answered:
             self.note_answer()
 
@@ -95,7 +95,7 @@
             self._is_answered = True
             self._exchange.note_answer(self._content)
 
-    def note_broken(self, target: str) -> None:
+    def note_loss(self, target: str) -> None:
         """Record that a target closed the connection without an answer.
 
         Args:
--- a/src/lineworks/forwarding/placement_view.py
+++ b/src/lineworks/forwarding/placement_view.py
@@ -62,7 +62,7 @@
 def _homes(route: routes.Route, book: target_book.TargetBook) -> dict[str, Any]:
     """Tell of one route with homes, and of its services that no target there can be asked for."""
     services = route.shards or tuple(part.service for part in route.split)
-    lacking = [service for service in services if not book.has_any(service, route.homes)]
+    lacking = [service for service in services if not book.has_target(service, route.homes)]
     return {
         "route": route.name,
         "regions": sorted(route.homes),
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -204,7 +204,7 @@
             self._set_timer(ROOM_PAUSE, self._begin)
 
     def _has_any(self, shard: search_state.Shard) -> bool:
-        return self._shared.book.has_any(shard.service, self._route.homes)
+        return self._shared.book.has_target(shard.service, self._route.homes)
 
     def known(self) -> verdict.Verdict:
         """Tell what is known of the search while it is under way."""
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -166,7 +166,7 @@
             return False
         if self._shared.line.is_too_late(self._claim, now):
             return False
-        if not self._has_any():
+        if not self._has_target():
             return False
         last = self._arrived + WAIT_SHARE * self._route.aim - ROOM_PAUSE
         return now < min(last, self._call.deadline)
@@ -208,7 +208,7 @@
 
     def _retry_or_finish(self, last: verdict.Verdict) -> None:
         """Retry after all attempts failed, or return the failure to the caller."""
-        if self._may_retry(last) and self._has_extra(last):
+        if self._may_retry(last) and self._spend_on_retry(last):
             self._shared.counters.retries += 1
             self._send_or_wait()
         elif self._may_retry(last) and self._may_request_extra():
@@ -232,10 +232,10 @@
             return False
         if len(self._made) >= MAX_ATTEMPTS or now + ROOM_PAUSE >= self._call.deadline:
             return False
-        return self._has_any()
+        return self._has_target()
 
-    def _has_any(self) -> bool:
-        return self._shared.book.has_any(self._service, self._route.homes)
+    def _has_target(self) -> bool:
+        return self._shared.book.has_target(self._service, self._route.homes)
 
     def _choose(self, now: float) -> target_state.TargetState | None:
         book = self._shared.book
@@ -243,7 +243,7 @@
             book, self._route, self._service, now, self._made, self._tried
         )
 
-    def _has_extra(self, last: verdict.Verdict) -> bool:
+    def _spend_on_retry(self, last: verdict.Verdict) -> bool:
         """Spend retry budget on another attempt.
 
         An attempt that replaces one that never reached a target is free.
--- a/src/lineworks/forwarding/target_book.py
+++ b/src/lineworks/forwarding/target_book.py
@@ -283,7 +283,7 @@
         """
         return self._states.get(target)
 
-    def has_any(self, service: str, homes: Collection[str] = routes.ANYWHERE) -> bool:
+    def has_target(self, service: str, homes: Collection[str] = routes.ANYWHERE) -> bool:
         """Return whether a service has a target in some home regions that accepts new work."""
         return bool(self._accepting_work(service, homes))
 
--- a/src/lineworks/forwarding/target_calls.py
+++ b/src/lineworks/forwarding/target_calls.py
@@ -122,7 +122,7 @@
         self._timer: Any = None
         self._under_way: dict[_Exchange, None] = {}
         # Calls under way over reused connections, the oldest first.
-        self._on_reused: dict[_Exchange, None] = {}
+        self._pooled_calls: dict[_Exchange, None] = {}
         # Latest start time of a call for which a reused connection delivered an answer or closed.
         self._last_answered_start = -math.inf
         self._next_silence_check = -math.inf
@@ -163,7 +163,7 @@
         for exchange in [one for one in self._under_way if one.state is state]:
             connection = exchange.connection
             exchange.connection = None
-            self._on_reused.pop(exchange, None)
+            self._pooled_calls.pop(exchange, None)
             if connection is not None:
                 connection.abort()
                 found = verdict.may_have_run(verdict.Reason.LINK_LOST, "the target has ended")
@@ -198,7 +198,7 @@
         share = 1.0 if call.is_repeatable else UNREPEATABLE_IDLE_SHARE
         connection = pool.take(now, share)
         if connection is not None:
-            self._on_reused[exchange] = None
+            self._pooled_calls[exchange] = None
             self._send_on(exchange, connection)
         elif pool.has_capacity:
             self._connect(pool, exchange)
@@ -215,19 +215,19 @@
         Args:
             now: The current time, in seconds.
         """
-        if self._are_reused_silent(now):
+        if self._are_pooled_silent(now):
             self._on_connections_silent(now)
 
-    def _are_reused_silent(self, now: float) -> bool:
+    def _are_pooled_silent(self, now: float) -> bool:
         """Return whether several targets are late over reused connections and none answers."""
         if now < self._next_silence_check:
             return False
         self._next_silence_check = now + SILENCE_CHECK_SECONDS
         silent = set()
-        for exchange in self._on_reused:
+        for exchange in self._pooled_calls:
             if now - exchange.started <= SILENCE_FLOOR_SECONDS:
                 break
-            usual = self._learning.usual(exchange.state)
+            usual = self._learning.service_time(exchange.state)
             is_late = now - exchange.started > SILENCE_FACTOR * usual
             if is_late and exchange.started > self._last_answered_start:
                 silent.add(exchange.state.id)
@@ -235,7 +235,7 @@
 
     def _on_connections_silent(self, now: float) -> None:
         """Close all idle connections, so that later requests are sent over new ones."""
-        _log.warning("connections_silent", under_way=len(self._on_reused))
+        _log.warning("connections_silent", under_way=len(self._pooled_calls))
         self._last_answered_start = now
         for pool in self._pools.values():
             pool.close_idle()
@@ -313,8 +313,8 @@
     ) -> None:
         connection = exchange.connection
         exchange.connection = None
-        if exchange in self._on_reused:
-            del self._on_reused[exchange]
+        if exchange in self._pooled_calls:
+            del self._pooled_calls[exchange]
             self._last_answered_start = max(self._last_answered_start, exchange.started)
         if isinstance(end, client_connection.ConnectionFailure):
             found = verdict.may_have_run(verdict.Reason.LINK_LOST, end.detail)
@@ -357,7 +357,7 @@
             return False
         exchange.on_end = None
         self._under_way.pop(exchange, None)
-        self._on_reused.pop(exchange, None)
+        self._pooled_calls.pop(exchange, None)
         now = self._reactor.seconds()
         exchange.state.replica.on_ended(now, is_progress=False)
         self._learning.on_given_up(exchange.state, now, now - exchange.started)
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -48,7 +48,7 @@
         """Log lines suppressed since the start."""
         return self._log.suppressed_total
 
-    def usual(self, state: target_state.TargetState) -> float:
+    def service_time(self, state: target_state.TargetState) -> float:
         """Return the average latency of the target's service, in seconds; 0 if unknown."""
         return self._book.service_time(state.replica.target.service)
 
