--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -214,12 +214,12 @@
         may_wait = now + SLOT_POLL_SECONDS < job.query.flush_at
         may_start = is_its_turn or not may_wait or not self._must_yield(job, service)
         if may_start and not job.is_paused:
-            state = self._book.choose_in(self._hall, service, now, not job.is_merging)
+            state = self._book.choose_in_hall(self._hall, service, now, not job.is_merging)
         if state is not None:
             self._queue.note_served(job.query.workspace)
             on_end = functools.partial(self._on_end, key, shard, state.id)
             job.running[shard] = self._calls.send(state, job.call, on_end)
-        elif may_wait and self._book.is_full_in(self._hall, service, now):
+        elif may_wait and self._book.is_full_in_hall(self._hall, service, now):
             job.waiting.append(shard)
         else:
             self._queue.note_refused(job.query.workspace)
@@ -301,7 +301,7 @@
                 else node_frames.Failure.NOT_SENT
             )
             job.failed[shard] = failure
-            if end.broke_off:
+            if end.lost_before_answer:
                 job.broken[shard] = target
                 job.has_broken_off = True
             job.has_answer |= end.verdict.is_answered
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -61,7 +61,7 @@
         shared: tools.Tools,
         route: routes.Route,
         call: target_calls.TargetCall,
-        crash_guard: caution.Caution,
+        crash_guard: caution.CrashGuard,
         due: float,
         arrived: float,
         on_end: Callable[[outcome.Outcome], None],
@@ -178,7 +178,7 @@
 
     def _on_trial_end(self, found: verdict.Verdict) -> None:
         """Retry a failed trial if the target did not run the request; otherwise end the search."""
-        if self._crash_guard.holds or not found.is_not_run:
+        if self._crash_guard.blocks_retries or not found.is_not_run:
             self._finish_incomplete()
         else:
             self._set_timer(SLOT_POLL_SECONDS, self._begin)
@@ -214,7 +214,7 @@
             self._set_timer(SLOT_POLL_SECONDS, self._begin)
 
     def _has_known_target(self, shard: search_state.Shard) -> bool:
-        return self._shared.book.has_any(shard.service, self._route.homes)
+        return self._shared.book.has_target(shard.service, self._route.homes)
 
     def known(self) -> verdict.Verdict:
         """Return the verdict for a search that the shutdown of this process interrupts."""
@@ -257,7 +257,7 @@
             is_hedge: Whether the attempts are hedges.
         """
         now = self._shared.reactor.seconds()
-        self._shared.calls.notice_silence(now)
+        self._shared.calls.check_silence(now)
         remote: list[int] = []
         local: dict[int, target_state.TargetState] = {}
         for index, state in chosen.items():
@@ -337,7 +337,7 @@
         if index in self._parts.covered or shard.running or shard.is_waiting:
             self._finish_if_stuck()
             return
-        if self._crash_guard.holds:
+        if self._crash_guard.blocks_retries:
             self._defer(index)
             return
         # Targets that have run the request failed just now, so they are not asked again.
@@ -364,14 +364,14 @@
         if (
             self._on_end is not None
             and self._deferred
-            and self._crash_guard.holds
+            and self._crash_guard.blocks_retries
             and not is_running
         ):
             self._finish_incomplete()
 
     def _retry_deferred(self) -> None:
         """Retry the deferred shards once a target has answered."""
-        if not self._deferred or self._crash_guard.holds:
+        if not self._deferred or self._crash_guard.blocks_retries:
             return
         deferred, self._deferred = self._deferred, []
         for index in deferred:
@@ -402,7 +402,7 @@
         shard.is_waiting = False
         if self._on_end is None or index in self._parts.covered or shard.running:
             return
-        if self._crash_guard.holds:
+        if self._crash_guard.blocks_retries:
             self._defer(index)
             return
         self._dispatch({index: self._choose_target_now(shard)}, is_hedge=False)
@@ -426,7 +426,7 @@
         if self._on_end is None:
             return
         now = self._shared.reactor.seconds()
-        if not self._crash_guard.holds:
+        if not self._crash_guard.blocks_retries:
             self._send_hedges(now)
         self._hedges.request_budget(self._on_budget_reply)
         pause = self._hedges.next_check(now)
@@ -436,7 +436,7 @@
 
     def _on_budget_reply(self) -> None:
         """Choose hedges again, because extra attempts may have been granted."""
-        if self._on_end is None or self._crash_guard.holds:
+        if self._on_end is None or self._crash_guard.blocks_retries:
             return
         self._send_hedges(self._shared.reactor.seconds())
         self._finish_if_done()
--- a/src/lineworks/forwarding/search_attempts.py
+++ b/src/lineworks/forwarding/search_attempts.py
@@ -48,7 +48,7 @@
         shared: tools.Tools,
         route: routes.Route,
         call: target_calls.TargetCall,
-        crash_guard: caution.Caution,
+        crash_guard: caution.CrashGuard,
         shards: Sequence[search_state.Shard],
         floor: Callable[[], bytes],
         add_part: Callable[[parts.Part, Iterable[search_state.ShardAttempt]], bool],
@@ -92,20 +92,20 @@
             now: Current time in seconds.
             is_hedge: Whether the attempts are hedges.
         """
-        slack = target_book.GOOD_SECONDS
+        slack = target_book.LOCALITY_SLACK_SECONDS
         if not is_hedge and mechanisms.Mechanism.ONE_HALL not in self._shared.without:
             slack = max(slack, SINGLE_HALL_SLOWDOWN_SHARE * self._route.slo)
         remaining: dict[int, list[tuple[float, target_state.TargetState]]] = {}
         for index in indices:
             shard = self._shards[index]
-            remaining[index] = self._shared.book.rated(
+            remaining[index] = self._shared.book.near_best(
                 shard.service, now, shard.tried, slack, self._route.homes
             )
         while remaining:
             by_hall: dict[str, dict[int, target_state.TargetState]] = {}
             slowest: dict[str, float] = {}
-            for index, rated in remaining.items():
-                for seconds, state in rated:
+            for index, near_best in remaining.items():
+                for seconds, state in near_best:
                     hall = state.hall
                     by_hall.setdefault(hall, {})[index] = state
                     slowest[hall] = max(seconds, slowest.get(hall, 0.0))
@@ -267,7 +267,7 @@
         shard = self._shards[attempt.shard]
         shard.running.remove(attempt)
         attempt.end = end.verdict
-        self._crash_guard.note_end(attempt.state.id, end.broke_off, end.verdict)
+        self._crash_guard.note_end(attempt.state.id, end.lost_before_answer, end.verdict)
         if not end.verdict.is_ok or end.response is None:
             if not answers.reached_target(end.verdict):
                 self._refund_unsent(shard)
--- a/src/lineworks/forwarding/search_state.py
+++ b/src/lineworks/forwarding/search_state.py
@@ -132,7 +132,7 @@
     return tuple(
         attempts.describe(shard.service, shard.all_attempts)
         for shard in shards
-        if attempts.is_over(shard.all_attempts, max_targets)
+        if attempts.exceeds_target_limit(shard.all_attempts, max_targets)
     )
 
 
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -1,7 +1,7 @@
-"""One request to one target: chosen, perhaps tried again, and passed back byte for byte.
+"""Forwards a request to one target of a service, with retries and hedges.
 
-A request that may run only once is sent again only when its target, or the lack of a connection,
-proves that it has not run.
+The target's response is returned byte for byte. A request that may run only once is sent again only
+if the target's answer, or a failure to connect, proves that it has not run.
 """
 
 from __future__ import annotations
@@ -24,18 +24,19 @@
     from lineworks.http1 import client_connection
 
 ROOM_PAUSE = 0.02
-"""Seconds between looks for a target with room."""
+"""Seconds between attempts to find a target with spare capacity."""
 
 WAIT_SHARE = 0.2
-"""Share of the aim that a request waits for a target with room before it is refused: a refusal
-within a quarter of the aim still leaves time for another try."""
+"""Fraction of the route's latency objective for which a request waits for a target with spare
+capacity before it is refused: a refusal within a quarter of the objective still leaves time for
+another try."""
 
-MOST_ATTEMPTS = 6
-"""Attempts at one request in all, refused ones included."""
+MAX_ATTEMPTS = 6
+"""Most attempts at one request, refused ones included."""
 
 
 class SingleRequest:
-    """One request under way."""
+    """One request to one target, from its arrival to its outcome."""
 
     def __init__(
         self,
@@ -43,18 +44,18 @@
         route: routes.Route,
         service: str,
         call: target_calls.TargetCall,
-        care: caution.Caution,
+        guard: caution.CrashGuard,
         arrived: float,
         on_end: Callable[[outcome.Outcome], None],
     ) -> None:
-        """Make a request; nothing is sent yet.
+        """Prepare the request without sending anything.
 
         Args:
-            shared: What the front's requests share.
+            shared: State and tools that the front's requests share.
             route: The route.
-            service: Service that gets it.
-            call: The request as a target gets it.
-            care: How carefully it goes on.
+            service: Service that the request is for.
+            call: The request in the form that targets get it.
+            guard: Holds back retries and hedges while the request may be crashing targets.
             arrived: When its first byte was read, in seconds.
             on_end: Called once with the outcome, unless the request is cancelled.
         """
@@ -62,15 +63,15 @@
         self._route = route
         self._service = service
         self._call = call
-        self._care = care
+        self._guard = guard
         self._arrived = arrived
         self._on_end: Callable[[outcome.Outcome], None] | None = on_end
         self._made: list[attempts.Attempt] = []
         self._running: list[attempts.Attempt] = []
         self._tried: set[str] = set()
-        self._asks = 0
+        self._extra_requests = 0
         self._timers: list[Any] = []
-        self._known: list[verdict.Verdict] = []
+        self._verdicts: list[verdict.Verdict] = []
         self._failures: list[str] = []
         self._failure: client_connection.Response | None = None
         self._target = ""
@@ -84,51 +85,51 @@
         self._leave_line: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        """Send the first attempt."""
+        """Send the first attempt, or wait for spare capacity."""
         shared = self._shared
         now = shared.reactor.seconds()
         shared.extra.note_request(self._service, now)
         self._set_timer(self._call.deadline - now, self._on_deadline)
         if shared.line.is_behind(self._claim, (self._service,)):
-            self._wait_for_room()
+            self._wait_for_capacity()
         else:
-            self._place()
+            self._send_or_wait()
         is_hedged = mechanisms.Mechanism.READ_HEDGES not in shared.without
         if is_hedged and self._route.is_repeatable:
             delay = shared.hedges.delay(self._route.name, False, self._route.slo)
             self._set_timer(delay, self._on_hedge)
 
     def known(self) -> verdict.Verdict:
-        """Tell what is known of the request while it is under way."""
+        """Return a verdict on the request while it is under way."""
         count = len(self._made)
         detail = f"{count} attempts, {len(self._running)} of them not answered"
         return verdict.Verdict(attempts.certainty(self._made), verdict.Reason.LEAVING, detail)
 
     def end(self) -> None:
-        """Answer with what is known, because the process ends."""
+        """Answer with what is known so far, because the process is stopping."""
         if self._on_end is None:
             return
         if self._failure is not None and not self._running:
-            self._pass_back(self._failure, self._known[-1])
+            self._return_response(self._failure, self._verdicts[-1])
             return
         self._give_up_running()
         found = outcome.refuse(self.known(), len(self._made), outcome.SHUTDOWN_RETRY_AFTER)
         self._end(found)
 
     def cancel(self) -> None:
-        """Give the request up, because its caller has gone.
+        """Give up the request, because its caller has closed the connection.
 
-        One that may run only once goes on at its target, so that it ends there in order.
+        A request that may run only once continues on its target, so that it completes there.
         """
         self._on_end = None
-        self._care.finish()
+        self._guard.finish()
         self._stop(cancels_attempts=self._call.is_repeatable)
 
     def _set_timer(self, delay: float, call: Callable[[], None]) -> None:
         self._timers.append(self._shared.reactor.callLater(max(0.0, delay), call))
 
-    def _place(self) -> None:
-        """Send an attempt to the best target; wait a little for one with room, or refuse."""
+    def _send_or_wait(self) -> None:
+        """Send an attempt to the best target; without one, wait for capacity or refuse."""
         if self._on_end is None or self._running:
             return
         now = self._shared.reactor.seconds()
@@ -139,11 +140,11 @@
         if state is not None:
             self._send(state, now, is_hedge=False)
         elif self._may_wait(now):
-            self._wait_for_room()
+            self._wait_for_capacity()
         else:
-            self._refuse_for_room(now)
+            self._refuse_without_capacity(now)
 
-    def _refuse_for_room(self, now: float) -> None:
+    def _refuse_without_capacity(self, now: float) -> None:
         shared = self._shared
         if not self._made:
             shared.line.note_refused(self._call.workspace)
@@ -152,20 +153,20 @@
         pause = shared.line.retry_after(outcome.RETRY_AFTER)
         self._finish_without(found.reason, found.detail, pause)
 
-    def _wait_for_room(self) -> None:
-        """Look again soon: in its turn where room is shared between workspaces."""
+    def _wait_for_capacity(self) -> None:
+        """Try again soon, or in turn if capacity is shared fairly between workspaces."""
         line = self._shared.line
         if line.is_fair:
-            self._leave_line = line.wait(self._claim, (self._service,), self._place)
+            self._leave_line = line.wait(self._claim, (self._service,), self._send_or_wait)
         else:
-            self._set_timer(ROOM_PAUSE, self._place)
+            self._set_timer(ROOM_PAUSE, self._send_or_wait)
 
     def _may_wait(self, now: float) -> bool:
         if mechanisms.Mechanism.ROOM_WAIT in self._shared.without:
             return False
         if self._shared.line.is_too_late(self._claim, now):
             return False
-        if not self._has_any():
+        if not self._has_target():
             return False
         last = self._arrived + WAIT_SHARE * self._route.slo - ROOM_PAUSE
         return now < min(last, self._call.deadline)
@@ -184,36 +185,36 @@
     def _on_call_end(self, attempt: attempts.Attempt, end: target_calls.CallEnd) -> None:
         self._running.remove(attempt)
         attempt.end = end.verdict
-        self._care.note_end(attempt.state.id, end.broke_off, end.verdict)
+        self._guard.note_end(attempt.state.id, end.lost_before_answer, end.verdict)
         if self._on_end is None:
             return
         if end.verdict.is_ok and end.response is not None:
             self._record(attempt)
             self._target = attempt.state.id
-            self._pass_back(end.response, end.verdict)
+            self._return_response(end.response, end.verdict)
             return
-        self._known.append(end.verdict)
+        self._verdicts.append(end.verdict)
         self._failures.append(
             f"{attempt.state.id} {end.verdict.reason.value}: {end.verdict.detail}"
         )
         if end.response is not None and not end.verdict.is_not_run:
             self._failure = end.response
         if not self._running:
-            self._go_on(end.verdict)
+            self._retry_or_finish(end.verdict)
 
     def _record(self, attempt: attempts.Attempt) -> None:
         is_remote = attempt.state.hall != self._shared.hall
         self._shared.record_answer(self._route.name, is_remote, attempt.started, attempt.is_hedge)
 
-    def _go_on(self, last: verdict.Verdict) -> None:
-        """After the last attempt failed: try once more, or tell the caller."""
-        if self._may_retry(last) and self._has_extra(last):
+    def _retry_or_finish(self, last: verdict.Verdict) -> None:
+        """Retry after all attempts failed, or return the failure to the caller."""
+        if self._may_retry(last) and self._spend_on_retry(last):
             self._shared.counters.retries += 1
-            self._place()
-        elif self._may_retry(last) and self._may_ask():
-            self._ask_for_extra(functools.partial(self._on_retry_granted, last))
+            self._send_or_wait()
+        elif self._may_retry(last) and self._may_request_extra():
+            self._request_extra(functools.partial(self._on_retry_granted, last))
         elif self._failure is not None:
-            self._pass_back(self._failure, last)
+            self._return_response(self._failure, last)
         else:
             self._finish_without(last.reason, last.detail)
 
@@ -222,18 +223,19 @@
         now = shared.reactor.seconds()
         if not last.is_not_run and not self._call.is_repeatable:
             return False
-        if self._care.is_enough:
-            # The request itself may be what ends its targets.
+        if self._guard.has_reached_loss_limit:
+            # The request itself may be what crashes its targets.
             return False
         if not attempts.has_target_left(self._made, self._route.max_attempts):
-            # Its targets failed just now; the caller learns so at once instead of a repeat there.
+            # Only targets that have just failed are left: the caller gets the failure at once
+            # rather than after a retry on them.
             return False
-        if len(self._made) >= MOST_ATTEMPTS or now + ROOM_PAUSE >= self._call.deadline:
+        if len(self._made) >= MAX_ATTEMPTS or now + ROOM_PAUSE >= self._call.deadline:
             return False
-        return self._has_any()
+        return self._has_target()
 
-    def _has_any(self) -> bool:
-        return self._shared.book.has_any(self._service, self._route.homes)
+    def _has_target(self) -> bool:
+        return self._shared.book.has_target(self._service, self._route.homes)
 
     def _choose(self, now: float) -> target_state.TargetState | None:
         book = self._shared.book
@@ -241,8 +243,11 @@
             book, self._route, self._service, now, self._made, self._tried
         )
 
-    def _has_extra(self, last: verdict.Verdict) -> bool:
-        """Pay for another attempt; one in place of an attempt that reached no target is free."""
+    def _spend_on_retry(self, last: verdict.Verdict) -> bool:
+        """Spend retry budget on another attempt.
+
+        An attempt that replaces one that never reached a target is free.
+        """
         shared = self._shared
         is_free = mechanisms.Mechanism.FREE_RETRIES not in shared.without
         if is_free and not answers.reached_target(last):
@@ -250,23 +255,23 @@
         now = shared.reactor.seconds()
         return shared.may_spend(self._service, now, workspace=self._call.workspace)
 
-    def _may_ask(self) -> bool:
-        return self._asks < extra_keeper.MOST_ASKS
+    def _may_request_extra(self) -> bool:
+        return self._extra_requests < extra_keeper.MOST_ASKS
 
-    def _ask_for_extra(self, on_reply: Callable[[], None]) -> None:
-        self._asks += 1
+    def _request_extra(self, on_reply: Callable[[], None]) -> None:
+        self._extra_requests += 1
         self._shared.ask_for_retry(self._service, self._call.workspace, on_reply)
 
     def _on_retry_granted(self, last: verdict.Verdict) -> None:
-        """Go on after an extra attempt was asked for."""
+        """Retry or finish after the request for an extra attempt was answered."""
         if self._on_end is not None and not self._running:
-            self._go_on(last)
+            self._retry_or_finish(last)
 
     def _on_hedge(self) -> None:
-        """Ask a second target while the first is slow."""
+        """Send a hedge to a second target while the first one is slow."""
         if self._on_end is None or len(self._running) != 1:
             return
-        if self._care.is_trial or self._care.holds:
+        if self._guard.is_trial or self._guard.blocks_retries:
             return
         shared = self._shared
         now = shared.reactor.seconds()
@@ -274,8 +279,8 @@
         if state is None:
             return
         if not shared.may_spend(self._service, now, workspace=self._call.workspace):
-            if self._may_ask():
-                self._ask_for_extra(self._on_hedge)
+            if self._may_request_extra():
+                self._request_extra(self._on_hedge)
             return
         shared.counters.hedges += 1
         shared.log_hedges(self._call, now - self._arrived, [(self._running[0].state, state)])
@@ -292,8 +297,10 @@
         else:
             self._finish_without(verdict.Reason.OVERLOADED, "no target had room in time")
 
-    def _pass_back(self, response: client_connection.Response, found: verdict.Verdict) -> None:
-        """Give the caller a target's answer unchanged."""
+    def _return_response(
+        self, response: client_connection.Response, found: verdict.Verdict
+    ) -> None:
+        """Return a target's response to the caller unchanged."""
         is_false_promise = headers.is_promise(response.status) and not found.is_not_run
         if is_false_promise and not self._call.is_repeatable:
             self._finish_without(found.reason, f"the target ran it and answered {response.status}")
@@ -308,14 +315,14 @@
     def _finish_without(
         self, reason: verdict.Reason, detail: str, retry_after: float | None = None
     ) -> None:
-        certainty = verdict.combine(self._known)
+        certainty = verdict.combine(self._verdicts)
         found = verdict.Verdict(certainty, reason, detail)
         self._end(outcome.refuse(found, len(self._made), retry_after))
 
     def _end(self, found: outcome.Outcome) -> None:
         on_end = self._on_end
         self._on_end = None
-        self._care.finish()
+        self._guard.finish()
         self._stop(cancels_attempts=True)
         if on_end is not None:
             described = dataclasses.replace(
@@ -323,14 +330,14 @@
                 target=self._target,
                 failures=tuple(self._failures),
                 over_limit=self._over_limit(),
-                broken=self._care.broken,
-                is_answered=self._care.is_answered,
+                broken=self._guard.broken,
+                is_answered=self._guard.is_answered,
             )
             on_end(described)
 
     def _over_limit(self) -> tuple[str, ...]:
-        """Tell of the attempts when more targets may have run it than the route allows."""
-        if not attempts.is_over(self._made, self._route.max_attempts):
+        """Describe the attempts if more targets may have run them than the route allows."""
+        if not attempts.exceeds_target_limit(self._made, self._route.max_attempts):
             return ()
         return (attempts.describe(self._service, self._made),)
 
@@ -344,7 +351,7 @@
             self._give_up_running()
 
     def _give_up_running(self) -> None:
-        """Cancel the attempts under way, and note which of them reached no connection."""
+        """Cancel the attempts under way, and record which of them were never sent."""
         for attempt in self._running:
             attempts.give_up(attempt)
         self._running.clear()
--- a/tests/test_attempt_limit.py
+++ b/tests/test_attempt_limit.py
@@ -205,8 +205,8 @@
     assert attempts.count_targets(attempts_made) == expected
     assert attempts.has_target_left(attempts_made, expected + 1)
     assert not attempts.has_target_left(attempts_made, expected)
-    assert not attempts.is_over(attempts_made, expected)
-    assert attempts.is_over(attempts_made, expected - 1)
+    assert not attempts.exceeds_target_limit(attempts_made, expected)
+    assert attempts.exceeds_target_limit(attempts_made, expected - 1)
 
 
 def test_the_description_names_the_outcome_of_each_attempt():
