--- a/bench/drills.py
+++ b/bench/drills.py
@@ -249,13 +249,13 @@
         }
         halls = {hall for hall, at in self._truth.evacuated.items() if self._due(at) <= now}
         for name, node in self._world.nodes.items():
-            known = node.known
-            if not known.is_complete or self._is_out_of_touch(name):
+            directory = node.directory
+            if not directory.is_complete or self._is_out_of_touch(name):
                 continue
-            used = {entry.id for entry in known.entries if not entry.is_leaving}
-            self._wrong["an older configuration"] += known.version < least
+            used = {entry.id for entry in directory.entries if not entry.is_leaving}
+            self._wrong["an older configuration"] += directory.version < least
             self._wrong["a target that left is used"] += bool(used & left)
-            self._wrong["an evacuated hall is used"] += bool(halls - known.evacuated)
+            self._wrong["an evacuated hall is used"] += bool(halls - directory.evacuated)
 
     def _is_out_of_touch(self, name: str) -> bool:
         return name == self._disturbed and self._clock.seconds() < self._in_touch_at
@@ -268,9 +268,9 @@
         self._wrong["an instance's key is not back"] += len(wanted - listed)
         for node in self._world.nodes.values():
             self._wrong["a hall is left alone for nothing"] += bool(
-                node.known.evacuated - self._truth.evacuated.keys()
+                node.directory.evacuated - self._truth.evacuated.keys()
             )
-            used = {entry.id for entry in node.known.entries}
+            used = {entry.id for entry in node.directory.entries}
             self._wrong["a target is not used"] += bool(
                 {target.name for target in self._spares} - used
             )
--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -25,10 +25,10 @@
     from lineworks.services import peer_links
     from lineworks.wire import frames
 
-NEVER_AGE = 1e9
+NEVER_READ_AGE = 1e9
 """Age, in seconds, that stands for never: logs and metrics have no infinity."""
 
-TICK = 0.05
+TICK_SECONDS = 0.05
 """Seconds between looks at whether the store should be asked."""
 
 POLL_SECONDS = 1.2
@@ -44,30 +44,30 @@
 RETRY_SECONDS = 0.4
 """Seconds between calls while the store fails; doubled with each failure."""
 
-MOST_RETRY_SECONDS = 1.0
+MAX_RETRY_SECONDS = 1.0
 """Seconds between calls while the store fails at most: its return must be noticed soon."""
 
-BLIND_PAUSE = 0.2
+INCOMPLETE_RETRY_SECONDS = 0.2
 """Seconds between calls while nothing can be served: they fail, or the store holds no configuration
 yet. Callers are refused meanwhile, and such a call costs little."""
 
-BEHIND_SECONDS = 1.5
+PULL_DELAY_SECONDS = 1.5
 """Seconds that a peer may be known to have a newer configuration before it is asked for it: the
 store or the hall's reader usually bring it by then, without bytes between regions."""
 
-PULL_PAUSE = 0.5
+MIN_PULL_INTERVAL = 0.5
 """Seconds between pulls from peers at least: all peers tell of a new configuration at about the
 same time, and an answer from another region takes less."""
 
-UNSURE_SECONDS = 3.0
+UNCERTAIN_SECONDS = 3.0
 """Seconds after the start, and after the store's return from an older copy, in which a peer with a
 newer configuration is asked for it at once: what the store shows may be older than what was in
 force."""
 
-REFUSED_PER_SECOND = 5.0
+MAX_REFUSED_LINES_PER_SECOND = 5.0
 """Log lines a second for entries that name no target to use: anybody may write any number."""
 
-_ANY = ""
+_ALL_KEYS = ""
 _log = structlog.get_logger(component="directory")
 
 
@@ -106,21 +106,21 @@
         self._table_era = 0
         self._has_targets = False
         self._is_unconfigured = False
-        self._unsure_since = reactor.seconds()
+        self._uncertain_since = reactor.seconds()
         self._doubt_until = 0.0
         self._fresh_at = float("-inf")
         self._next_call = 0.0
         self._failures = 0
         self._outage_since: float | None = None
         self._hold_until = 0.0
-        self._ahead: str | None = None
-        self._ahead_since = 0.0
-        self._newest_heard = 0
+        self._newer_peer: str | None = None
+        self._newer_since = 0.0
+        self._newest_known_version = 0
         self._pulled_at = float("-inf")
-        self._spread = rng.random() * FALLBACK_SPREAD
+        self._fallback_delay = rng.random() * FALLBACK_SPREAD
         self._task = task.Task("directory", self._run)
         self._refused_log = rate_limited_log.RateLimitedLog(
-            reactor, "directory", REFUSED_PER_SECOND
+            reactor, "directory", MAX_REFUSED_LINES_PER_SECOND
         )
         self.refused_entries = 0
         """Entries read that name no target to use."""
@@ -145,12 +145,12 @@
     @property
     def is_outdated(self) -> bool:
         """Whether a peer is known to have a newer configuration."""
-        return self._newest_heard > self.version
+        return self._newest_known_version > self.version
 
     @property
     def age(self) -> float:
         """Seconds since the store is known to have held nothing newer; `NEVER_AGE` at first."""
-        return min(NEVER_AGE, self._reactor.seconds() - self._fresh_at)
+        return min(NEVER_READ_AGE, self._reactor.seconds() - self._fresh_at)
 
     @property
     def entries(self) -> Iterable[target_view.TargetEntry]:
@@ -164,7 +164,7 @@
 
     def start(self) -> None:
         """Begin to ask the store."""
-        self._unsure_since = self._reactor.seconds()
+        self._uncertain_since = self._reactor.seconds()
         self._task.start()
 
     def stop(self) -> None:
@@ -174,7 +174,7 @@
     def on_store_return(self) -> None:
         """Note that the store came back from an older copy: others have yet to write again."""
         now = self._reactor.seconds()
-        self._unsure_since = now
+        self._uncertain_since = now
         self._hold_until = max(self._hold_until, now + target_view.LAPSE_GRACE)
         self._doubt_until = now + target_view.DOUBT_SECONDS
 
@@ -187,22 +187,22 @@
         """
         if version <= self.version:
             return
-        self._newest_heard = max(self._newest_heard, version)
-        if self._ahead is None:
-            self._ahead_since = self._reactor.seconds()
-        self._ahead = peer
+        self._newest_known_version = max(self._newest_known_version, version)
+        if self._newer_peer is None:
+            self._newer_since = self._reactor.seconds()
+        self._newer_peer = peer
         # Now, and not after a call to the store that may be under way for a while.
         self._pull_if_behind()
 
     def _pull_if_behind(self) -> None:
         """Ask a peer for what it has, when the store and the own hall did not bring it in time."""
-        if self._ahead is None:
+        if self._newer_peer is None:
             return
         now = self._reactor.seconds()
-        is_unsure = self.version > 0 and now - self._unsure_since < UNSURE_SECONDS
+        is_uncertain = self.version > 0 and now - self._uncertain_since < UNCERTAIN_SECONDS
         # Neither the store nor the hall's reader brings it to one whose own calls fail.
         is_cut_off = self._failures > 0 and self.age >= FALLBACK_SECONDS
-        if is_unsure or is_cut_off or now - self._ahead_since >= BEHIND_SECONDS:
+        if is_uncertain or is_cut_off or now - self._newer_since >= PULL_DELAY_SECONDS:
             self._pull()
 
     def pull_at_once(self) -> None:
@@ -212,21 +212,21 @@
     def _pull(self) -> None:
         """Ask a peer that is ahead, unless one was asked just now."""
         now = self._reactor.seconds()
-        if self._ahead is None or now < self._pulled_at + PULL_PAUSE:
+        if self._newer_peer is None or now < self._pulled_at + MIN_PULL_INTERVAL:
             return
         self._pulled_at = now
-        self._links.send(self._ahead, node_frames.TablePull(self.version))
-        self._ahead = None
+        self._links.send(self._newer_peer, node_frames.TablePull(self.version))
+        self._newer_peer = None
 
     async def _run(self) -> None:
         while True:
             if self._is_due():
-                await self._ask()
+                await self._read_store()
             self._pull_if_behind()
-            self._carry_out_due()
-            await task.sleep(self._reactor, TICK)
+            self._apply_timeouts()
+            await task.sleep(self._reactor, TICK_SECONDS)
 
-    def _carry_out_due(self) -> None:
+    def _apply_timeouts(self) -> None:
         """Let go of what is missing, and believe what is there again, when its time has come."""
         now = self._reactor.seconds()
         is_changed = self._view.expire(now)
@@ -242,15 +242,15 @@
             return True
         # Age first: who reads is found by looking at every link.
         age = self.age
-        if age < (POLL_SECONDS if self.is_complete else BLIND_PAUSE):
+        if age < (POLL_SECONDS if self.is_complete else INCOMPLETE_RETRY_SECONDS):
             return False
-        return age >= FALLBACK_SECONDS + self._spread or self._is_reader()
+        return age >= FALLBACK_SECONDS + self._fallback_delay or self._is_reader()
 
     def _is_reader(self) -> bool:
         """Say whether this instance reads the store for its hall."""
         return hall_peers.acts_for_hall(self._links, self._hall, self._name, "reader")
 
-    async def _ask(self) -> None:
+    async def _read_store(self) -> None:
         """Ask the store what is new, or for everything at first."""
         asked_at = self._reactor.seconds()
         try:
@@ -270,27 +270,27 @@
 
     async def _read_all(self, asked_at: float) -> None:
         """Read everything there is."""
-        listing = await self._store.list_items(_ANY)
+        listing = await self._store.list_items(_ALL_KEYS)
         rows = [store_items.Change(item.key, item.position, item.value) for item in listing.items]
-        is_changed = self._replace(_asked(rows), self._decode(rows), listing.position)
+        is_changed = self._replace(_evacuation_changes(rows), self._decode(rows), listing.position)
         self._has_targets = True
         self._fresh_at = max(self._fresh_at, asked_at)
-        self._take_others(rows)
+        self._apply_other_keys(rows)
         if is_changed:
             self.on_targets()
         self._send_all(hall_peers.names(self._links, self._hall))
 
     def _replace(
         self,
-        asked: Iterable[evacuations.EvacuationChange],
+        evacuation_changes: Iterable[evacuations.EvacuationChange],
         entries: Iterable[target_view.TargetChange],
         position: positions.Position,
         held: Mapping[str, float] | None = None,
     ) -> bool:
         """Take in everything as it was at one position; say whether anything changed."""
-        hold = self._hold()
+        hold = self._hold_deadline()
         # Before the targets are known, so that a hall that is to be left alone gets nothing.
-        is_changed = self._evacuations.replace(asked, position, hold)
+        is_changed = self._evacuations.replace(evacuation_changes, position, hold)
         is_changed |= self._view.replace(entries, position, hold, self._doubt_until, held)
         return is_changed
 
@@ -298,7 +298,7 @@
         """Read what changed since the last time."""
         before = self._view.position
         try:
-            found = await self._store.watch(_ANY, before, 0.0)
+            found = await self._store.watch(_ALL_KEYS, before, 0.0)
         except store.HistoryGoneError:
             await self._read_all(asked_at)
             _log.info(
@@ -313,16 +313,18 @@
         # An entry that came back while its removal was held up is news to the peers as well.
         known = self._view.certain()
         entries = self._decode(found.changes)
-        asked = _asked(found.changes)
-        is_changed = self._evacuations.apply(asked)
-        is_changed |= self._view.apply(entries, self._hold())
+        evacuation_changes = _evacuation_changes(found.changes)
+        is_changed = self._evacuations.apply(evacuation_changes)
+        is_changed |= self._view.apply(entries, self._hold_deadline())
         self._view.position = max(self._view.position, found.position)
         self._fresh_at = max(self._fresh_at, asked_at)
-        self._take_others(found.changes)
+        self._apply_other_keys(found.changes)
         if is_changed:
             self.on_targets()
         news = target_view.news(known, entries)
-        self._send_update(hall_peers.names(self._links, self._hall), before, news, asked)
+        self._send_update(
+            hall_peers.names(self._links, self._hall), before, news, evacuation_changes
+        )
 
     def _decode(self, rows: Iterable[store_items.Change]) -> list[target_view.TargetChange]:
         changes = []
@@ -345,14 +347,14 @@
             self._refused_log.info("entry_refused", error=str(error))
             return None
 
-    def _take_others(self, rows: Sequence[store_items.Change]) -> None:
+    def _apply_other_keys(self, rows: Sequence[store_items.Change]) -> None:
         """Take in what is no target's entry: the configuration and the instances' keys."""
         for row in rows:
             if row.key == configuration.KEY and row.value is not None:
-                self._take_table(row.value, row.position.era)
+                self._apply_table(row.value, row.position.era)
         self.on_instances(rows)
 
-    def _take_table(self, document: bytes, era: int) -> None:
+    def _apply_table(self, document: bytes, era: int) -> None:
         try:
             table = configuration.decode(document)
         except configuration.ConfigurationError as error:
@@ -364,7 +366,7 @@
         _log.info("configuration", version=table.version, before=self.version, era=era)
         self._table = table
         self._table_era = era
-        self._ahead = None
+        self._newer_peer = None
         self._document = document
         self.on_table(table)
         update = node_frames.TableUpdate(table.version, document, era)
@@ -375,21 +377,23 @@
         """Give peers everything that is known, and how far it is settled."""
         known = self._view.all_changes()
         unsettled = self._view.unsettled(self._reactor.seconds())
-        asked = self._evacuations.all_changes()
-        self._send_update(names, positions.ABSENT, known, asked, unsettled)
+        evacuation_changes = self._evacuations.all_changes()
+        self._send_update(names, positions.ABSENT, known, evacuation_changes, unsettled)
 
     def _send_update(
         self,
         names: Iterable[str],
         after: positions.Position,
         news: list[target_view.TargetChange],
-        asked: tuple[evacuations.EvacuationChange, ...] = (),
+        evacuation_changes: tuple[evacuations.EvacuationChange, ...] = (),
         unsettled: Sequence[target_view.Unsettled] = (),
     ) -> None:
         document = target_documents.encode(news)
-        rest = target_documents.encode_unsettled(unsettled)
+        unsettled_document = target_documents.encode_unsettled(unsettled)
         age = max(0.0, self.age)
-        update = node_frames.TargetUpdate(after, self._view.position, age, document, asked, rest)
+        update = node_frames.TargetUpdate(
+            after, self._view.position, age, document, evacuation_changes, unsettled_document
+        )
         for name in names:
             self._links.send(name, update)
 
@@ -405,20 +409,20 @@
         except target_documents.TargetDocumentError as error:
             link.close(f"malformed frame: {error}")
             return
-        self._note_return()
+        self._end_outage()
         if frame.after == positions.ABSENT:
             held = self._held_until(unsettled)
             is_changed = self._replace(frame.evacuations, changes, frame.position, held)
         else:
             is_changed = self._evacuations.apply(frame.evacuations)
-            is_changed |= self._view.apply(changes, self._hold())
+            is_changed |= self._view.apply(changes, self._hold_deadline())
         is_changed |= self._view.take_unsettled(unsettled, self._reactor.seconds())
         self._view.position = max(self._view.position, frame.position)
         self._has_targets = True
         self._fresh_at = max(self._fresh_at, self._reactor.seconds() - frame.age)
         if is_changed:
             self.on_targets()
-        self._contradict(link.hello.name, changes)
+        self._correct_peer(link.hello.name, changes)
 
     def _held_until(self, unsettled: Iterable[target_view.Unsettled]) -> dict[str, float]:
         """Tell until when a peer keeps entries that are missing."""
@@ -429,15 +433,15 @@
             if one.standing is target_view.Standing.HELD
         }
 
-    def _contradict(self, peer: str, listed: Iterable[target_view.TargetChange]) -> None:
+    def _correct_peer(self, peer: str, listed: Iterable[target_view.TargetChange]) -> None:
         """Tell a peer what had gone or was leaving of what it lists: it may have just started."""
-        known_better = self._view.contradict(listed, self._reactor.seconds())
-        if known_better:
-            self._send_update([peer], self._view.position, [], unsettled=known_better)
+        corrections = self._view.contradict(listed, self._reactor.seconds())
+        if corrections:
+            self._send_update([peer], self._view.position, [], unsettled=corrections)
 
     def _on_table_update(self, link: Any, frame: node_frames.TableUpdate) -> None:
         if (frame.version, frame.era) > (self.version, self._table_era):
-            self._take_table(frame.document, frame.era)
+            self._apply_table(frame.document, frame.era)
 
     def _on_pull(self, link: Any, frame: node_frames.TablePull) -> None:
         """Give a peer what it lacks."""
@@ -451,11 +455,11 @@
         if not self.is_complete and self._failures:
             self._links.send(hello.name, node_frames.TablePull(0))
 
-    def _ask_peers(self) -> None:
+    def _pull_from_any_peer(self) -> None:
         for name in list(self._links.up)[:1]:
             self._links.send(name, node_frames.TablePull(0))
 
-    def _hold(self) -> float:
+    def _hold_deadline(self) -> float:
         """Tell until when missing entries prove nothing; 0 outside an outage."""
         now = self._reactor.seconds()
         if self._outage_since is not None:
@@ -465,13 +469,13 @@
     def _on_failure(self, error: str, is_busy: bool) -> None:
         now = self._reactor.seconds()
         if not self.is_complete:
-            self._ask_peers()
+            self._pull_from_any_peer()
         if self._outage_since is None:
             self._outage_since = now
             _log.warning("store_lost", error=error, age=round(self.age, 3))
-        pause = min(MOST_RETRY_SECONDS, RETRY_SECONDS * 2**self._failures)
+        pause = min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2**self._failures)
         if not self.is_complete and not is_busy:
-            pause = BLIND_PAUSE
+            pause = INCOMPLETE_RETRY_SECONDS
         self._failures += 1
         self._next_call = now + pause * (0.75 + self._rng.random() / 2)
 
@@ -480,9 +484,9 @@
         # The store holds no configuration: more calls would bring nothing, and whoever reads for
         # the hall will tell of one.
         self._is_unconfigured = self._table is None
-        self._note_return()
+        self._end_outage()
 
-    def _note_return(self) -> None:
+    def _end_outage(self) -> None:
         """Note that the store answers, here or at a peer."""
         if self._outage_since is None:
             return
@@ -492,7 +496,9 @@
         self._hold_until = now + target_view.LAPSE_GRACE
 
 
-def _asked(rows: Iterable[store_items.Change]) -> tuple[evacuations.EvacuationChange, ...]:
+def _evacuation_changes(
+    rows: Iterable[store_items.Change],
+) -> tuple[evacuations.EvacuationChange, ...]:
     """Pick out what the operators ask of whole halls."""
     found = []
     for row in rows:
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lineworks.forwarding import request_log, tools
+    from lineworks.forwarding import front_services, request_log
 
 START_WAIT_SECONDS = 0.08
 """Seconds that a request is held while configuration or targets are not known: after a start they
@@ -34,7 +34,7 @@
 REFUSAL_WEIGHT = 0.1
 """Weight of one request in the share of those that found no target."""
 
-MOSTLY = 0.5
+MOSTLY_REFUSING_SHARE = 0.5
 """Share of requests without a target above which most are."""
 
 _Work = search.Search | single.SingleRequest
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        shared: tools.Tools,
+        shared: front_services.FrontServices,
         log: request_log.RequestLog,
         revocation: access.Revocation,
     ) -> None:
@@ -64,9 +64,9 @@
         self._log = log
         self._revocation = revocation
         # Requests whose quota is being asked for, each with what refuses it as not run.
-        self._asking: dict[_Work, Callable[[], None]] = {}
+        self._awaiting_quota: dict[_Work, Callable[[], None]] = {}
         self._table: routes.RouteTable | None = None
-        self._turns = routes.WeightedRoundRobin()
+        self._round_robin = routes.WeightedRoundRobin()
         self._under_way: set[_Work] = set()
         self._waiting: dict[Callable[[], None], Callable[[], None]] = {}
         self.is_complete: Callable[[], bool] = lambda: True
@@ -75,23 +75,23 @@
         """Tells the age of what is known of the targets, in seconds."""
         self.is_outdated: Callable[[], bool] = lambda: False
         """Says whether a peer is known to have a newer configuration."""
-        self.on_unsure: Callable[[], None] = lambda: None
+        self.on_uncertain_refusal: Callable[[], None] = lambda: None
         """Called when a newer configuration could allow what is refused."""
         self.ends_at: Callable[[], float] = lambda: math.inf
         """Tells when the process ends whatever is under way, in seconds."""
         self.is_over: Callable[[], bool] = lambda: False
         """Says whether the process itself closes its connections now."""
-        self._refused = estimators.Average(REFUSAL_WEIGHT)
+        self._refused_share = estimators.Average(REFUSAL_WEIGHT)
 
     @property
     def is_idle(self) -> bool:
         """Whether no request is under way or held."""
-        return not self._under_way and not self._waiting and not self._asking
+        return not self._under_way and not self._waiting and not self._awaiting_quota
 
     @property
     def is_mostly_refusing(self) -> bool:
         """Whether most requests lately found no target."""
-        return self._refused.value > MOSTLY
+        return self._refused_share.value > MOSTLY_REFUSING_SHARE
 
     @property
     def table(self) -> routes.RouteTable | None:
@@ -105,13 +105,13 @@
             table: The configuration.
         """
         self._table = table
-        self._shared.line.is_fair = table.workspaces.is_used
-        self._turns.forget_absent(table.routes)
+        self._shared.queue.is_fair = table.workspaces.is_used
+        self._round_robin.forget_absent(table.routes)
 
-    def go_on(self) -> None:
+    def resume_held(self) -> None:
         """Start the requests that were held, because configuration and targets are known now."""
-        for go_on in list(self._waiting):
-            go_on()
+        for resume in list(self._waiting):
+            resume()
 
     def end_all(self) -> int:
         """Answer every request with what is known of it, because the process ends.
@@ -119,8 +119,8 @@
         Returns:
             How many there were.
         """
-        count = len(self._under_way) + len(self._waiting) + len(self._asking)
-        for give_up in [*self._waiting.values(), *self._asking.values()]:
+        count = len(self._under_way) + len(self._waiting) + len(self._awaiting_quota)
+        for give_up in [*self._waiting.values(), *self._awaiting_quota.values()]:
             give_up()
         for work in list(self._under_way):
             work.end()
@@ -152,29 +152,29 @@
         """
         table = self._table
         if table is None or not self.is_complete():
-            return self._wait_for_start(request, answer)
+            return self._hold_until_ready(request, answer)
         host = request.header(b"host")
         attempt = request.header(headers.ATTEMPT)
         if host is None or attempt is None or not request.target.startswith(b"/"):
-            self._answer_at_once(request, answer, _plain(400, verdict.Reason.INVALID))
+            self._answer_at_once(request, answer, _status_only(400, verdict.Reason.INVALID))
             return None
         path = request.target.partition(b"?")[0].decode("latin-1")
         route = table.match(host.decode("latin-1").partition(":")[0], path)
         if route is None:
-            self._answer_at_once(request, answer, _plain(404, verdict.Reason.NO_SERVICE))
+            self._answer_at_once(request, answer, _status_only(404, verdict.Reason.NO_SERVICE))
             return None
         key = headers.read_key(request.header(headers.CALLER))
         knowledge = access.Knowledge(self.view_age(), self.is_outdated())
         found = access.judge(table, route, key, knowledge, self._revocation)
         if found.refusal is not None:
             if found.refusal.reason is verdict.Reason.KEY_UNSURE:
-                self.on_unsure()
+                self.on_uncertain_refusal()
             refused = outcome.refuse(found.refusal)
             self._finish(request, answer, table, found, attempt, "", refused)
             return None
         return self._forward(request, answer, table, found, attempt)
 
-    def _wait_for_start(
+    def _hold_until_ready(
         self,
         request: server_connection.Request,
         answer: Callable[[server_connection.Answer], None],
@@ -183,12 +183,12 @@
         cancel: Callable[[], None] | None = None
         is_over = False
 
-        def go_on() -> None:
+        def resume() -> None:
             nonlocal cancel, is_over
             if not is_over:
                 is_over = True
                 timer.cancel()
-                del self._waiting[go_on]
+                del self._waiting[resume]
                 cancel = self.on_request(request, answer)
 
         def give_up() -> None:
@@ -196,7 +196,7 @@
             is_over = True
             if timer.active():
                 timer.cancel()
-            del self._waiting[go_on]
+            del self._waiting[resume]
             found = verdict.not_run(verdict.Reason.NOT_READY, "no configuration or targets yet")
             self._answer_at_once(request, answer, outcome.refuse(found))
 
@@ -207,12 +207,12 @@
             elif not is_over:
                 is_over = True
                 timer.cancel()
-                del self._waiting[go_on]
+                del self._waiting[resume]
 
         is_held = mechanisms.Mechanism.START_HOLD not in self._shared.without
         hold = START_WAIT_SECONDS if is_held else 0.0
         timer = self._shared.reactor.callLater(hold, give_up)
-        self._waiting[go_on] = give_up
+        self._waiting[resume] = give_up
         return stop
 
     def _forward(
@@ -228,7 +228,7 @@
         allowed = min(route.timeout, budget if budget is not None else route.timeout)
         deadline = deadlines.for_answer(request.arrived, allowed)
         has_keys = table.workspaces.is_used
-        content = _content(request, accessed, has_keys)
+        content = _content_fingerprint(request, accessed, has_keys)
         finish = functools.partial(self._finish, request, answer, table, accessed, attempt, content)
         judgement = self._shared.suspects.judge(content)
         refused = self._refuse_early(route, judgement, content, attempt, deadline)
@@ -236,7 +236,7 @@
             finish(refused)
             return None
         call = target_calls.TargetCall(
-            head=_head(request, accessed, has_keys),
+            head=_request_head(request, accessed, has_keys),
             body=request.body,
             attempt=attempt,
             deadline=deadline,
@@ -252,17 +252,17 @@
             if give_back is not None and found.verdict.is_not_run:
                 give_back()
             is_refused = found.verdict.reason is verdict.Reason.NO_REPLICA
-            self._refused.record(1.0 if is_refused else 0.0)
+            self._refused_share.record(1.0 if is_refused else 0.0)
             finish(found)
 
         is_trial = judgement is suspects.Judgement.TRIAL
         care = caution.Caution(self._shared.suspects, content, attempt.decode("latin-1"), is_trial)
         work = self._make_work(request, route, call, care, on_end)
-        on_gone = functools.partial(self._cancel, work, request, attempt, accessed)
+        on_caller_left = functools.partial(self._cancel, work, request, attempt, accessed)
 
         def on_admission(admission: quota_keeper.Admission) -> None:
             nonlocal give_back
-            self._asking.pop(work, None)
+            self._awaiting_quota.pop(work, None)
             if admission.refusal is None:
                 give_back = admission.give_back
                 self._start(work)
@@ -271,11 +271,11 @@
 
         if workspace is None or workspace.quota is None:
             self._start(work)
-            return on_gone
+            return on_caller_left
         withdraw = self._shared.quotas.admit(workspace, on_admission, deadline)
         if withdraw is None:
-            return on_gone if work in self._under_way else None
-        return self._await_quota(work, withdraw, on_admission, on_gone)
+            return on_caller_left if work in self._under_way else None
+        return self._await_quota(work, withdraw, on_admission, on_caller_left)
 
     def _refuse_early(
         self,
@@ -312,7 +312,7 @@
     ) -> _Work:
         """Prepare the search, or the request to one target, that a route asks for."""
         if not route.is_search:
-            service = self._turns.choose(route)
+            service = self._round_robin.choose(route)
             return single.SingleRequest(
                 self._shared, route, service, call, care, request.arrived, on_end
             )
@@ -329,7 +329,7 @@
         work: _Work,
         withdraw: Callable[[], None],
         on_admission: Callable[[quota_keeper.Admission], None],
-        on_gone: Callable[[], None],
+        on_caller_left: Callable[[], None],
     ) -> Callable[[], None]:
         """Keep a request whose quota is being asked for.
 
@@ -343,11 +343,11 @@
             on_admission(quota_keeper.Admission(found, outcome.STOP_RETRY_AFTER))
 
         def stop() -> None:
-            if self._asking.pop(work, None) is not None:
+            if self._awaiting_quota.pop(work, None) is not None:
                 withdraw()
-            on_gone()
+            on_caller_left()
 
-        self._asking[work] = give_up
+        self._awaiting_quota[work] = give_up
         return stop
 
     def _has_time(self, route: routes.Route) -> bool:
@@ -415,11 +415,13 @@
         answer(found.answer)
 
 
-def _plain(status: int, reason: verdict.Reason) -> outcome.Outcome:
+def _status_only(status: int, reason: verdict.Reason) -> outcome.Outcome:
     return outcome.Outcome(server_connection.Answer(status), verdict.not_run(reason))
 
 
-def _content(request: server_connection.Request, accessed: access.Access, has_keys: bool) -> str:
+def _content_fingerprint(
+    request: server_connection.Request, accessed: access.Access, has_keys: bool
+) -> str:
     """Make the fingerprint of what a request asks.
 
     Where requests carry keys it goes by the workspace, so that it outlives a change of its keys.
@@ -437,7 +439,9 @@
     )
 
 
-def _head(request: server_connection.Request, accessed: access.Access, has_keys: bool) -> bytes:
+def _request_head(
+    request: server_connection.Request, accessed: access.Access, has_keys: bool
+) -> bytes:
     """Write the part of a request's head that all targets get.
 
     Where requests carry keys, none reaches a target, and whose request it is isn't for the caller
--- a/src/lineworks/forwarding/tools.py
+++ b/src/lineworks/forwarding/front_services.py
@@ -19,14 +19,14 @@
         target_book,
         target_calls,
         target_state,
-        waiting_line,
+        wait_queue,
     )
     from lineworks.kernel import rate_limited_log
 
 HEDGE_LINES_PER_SECOND = 10.0
 """Log lines a second for hedges."""
 
-MOST_NAMED = 6
+MAX_HEDGES_PER_LINE = 6
 """Hedges that a line names at most."""
 
 HEDGE_QUANTILE = 0.8
@@ -35,10 +35,10 @@
 HEDGE_FACTOR = 1.3
 """Multiple of that quantile: the rest of a usual spread is waited for."""
 
-LEAST_HEDGE_SHARE = 0.08
+MIN_HEDGE_SHARE = 0.08
 """Share of a route's aim before which nothing is hedged."""
 
-MOST_HEDGE_SHARE = 0.4
+MAX_HEDGE_SHARE = 0.4
 """Share of a route's aim after which everything is hedged; also used while nothing is known."""
 
 
@@ -73,11 +73,11 @@
             Seconds.
         """
         found = self._latencies.get((route, is_remote))
-        most = MOST_HEDGE_SHARE * slo
+        max_delay = MAX_HEDGE_SHARE * slo
         if found is None or not found.has_samples:
-            return most
+            return max_delay
         late = HEDGE_FACTOR * found.quantile(HEDGE_QUANTILE)
-        return min(most, max(LEAST_HEDGE_SHARE * slo, late))
+        return min(max_delay, max(MIN_HEDGE_SHARE * slo, late))
 
 
 @dataclasses.dataclass(slots=True)
@@ -107,7 +107,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tools:
+class FrontServices:
     """Shared by all requests of a front."""
 
     reactor: Any
@@ -146,7 +146,7 @@
     log: rate_limited_log.RateLimitedLog
     """Takes a line for each hedge."""
 
-    line: waiting_line.WaitingLine
+    queue: wait_queue.WaitQueue
     """Requests that wait for room, and what each workspace got lately."""
 
     without: frozenset[mechanisms.Mechanism] = frozenset()
@@ -155,7 +155,7 @@
     lags: estimators.Quantiles = dataclasses.field(default_factory=estimators.Quantiles)
     """How long after their latest moment answers of searches left."""
 
-    def may_spend(self, service: str, now: float, kept: float = 0.0, workspace: str = "") -> bool:
+    def try_spend(self, service: str, now: float, kept: float = 0.0, workspace: str = "") -> bool:
         """Take one extra attempt at a service, or count that none was left.
 
         Args:
@@ -172,8 +172,8 @@
         if not self.extra.spend(service, now, kept):
             self.counters.budget_spent += 1
             return False
-        if self.line.is_fair:
-            self.line.shares.note_spent(workspace, service, now)
+        if self.queue.is_fair:
+            self.queue.shares.note_spent(workspace, service, now)
         return True
 
     def spent_far_more(self, service: str, now: float, workspace: str) -> bool:
@@ -187,8 +187,8 @@
         Returns:
             Whether room is shared between workspaces, and it spent far more than its part.
         """
-        line = self.line
-        return line.is_fair and line.shares.spent_far_more(workspace, service, now)
+        queue = self.queue
+        return queue.is_fair and queue.shares.spent_far_more(workspace, service, now)
 
     def ask_for_retry(self, service: str, workspace: str, on_reply: Callable[[], None]) -> None:
         """Ask the keeper for an extra attempt at a service, because none is left here.
@@ -219,7 +219,7 @@
         """
         named = [
             f"{late.replica.target.service}: {late.id}, now {other.id}"
-            for late, other in pairs[:MOST_NAMED]
+            for late, other in pairs[:MAX_HEDGES_PER_LINE]
         ]
         self.log.info(
             "hedge",
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from lineworks.decisions import fair_shares, mechanisms, parts, verdict
-from lineworks.forwarding import answers, target_calls, waiting_line
+from lineworks.forwarding import answers, target_calls, wait_queue
 from lineworks.kernel import rate_limited_log
 from lineworks.platform import headers
 from lineworks.wire import node_frames
@@ -103,7 +103,7 @@
         self._book = book
         self._calls = calls
         self._jobs: dict[tuple[str, int], _Job] = {}
-        self._line = waiting_line.WaitingLine(reactor, ROOM_PAUSE)
+        self._line = wait_queue.WaitQueue(reactor, ROOM_PAUSE)
         self._log = rate_limited_log.RateLimitedLog(reactor, "gatherer", FAILURES_PER_SECOND)
 
     @property
@@ -173,7 +173,7 @@
 
     def _is_behind(self, job: _Job, service: str) -> bool:
         """Say whether others that wait for a service go before a job."""
-        return job.claim is not None and self._line.is_behind(job.claim, (service,))
+        return job.claim is not None and self._line.has_waiter_ahead(job.claim, (service,))
 
     def _place(
         self, key: tuple[str, int], job: _Job, shard: int, now: float, is_its_turn: bool = False
--- a/src/lineworks/forwarding/metrics.py
+++ b/src/lineworks/forwarding/metrics.py
@@ -30,7 +30,7 @@
 and round figures between them."""
 
 
-class _Times:
+class _LatencyHistogram:
     """How long the requests of one route, or of one workspace, took."""
 
     __slots__ = ("buckets", "total")
@@ -60,14 +60,14 @@
 
     def __init__(self) -> None:
         self._routes: set[str] = set()
-        self._times: dict[str, _Times] = {}
+        self._latencies: dict[str, _LatencyHistogram] = {}
         self._workspaces: set[str] = set()
-        self._workspace_times: dict[str, _Times] = {}
-        self._workspace_ends: collections.Counter[tuple[str, str, str]] = collections.Counter()
-        self._ends: collections.Counter[tuple[str, str, str]] = collections.Counter()
-        self._missing: collections.Counter[str] = collections.Counter()
+        self._workspace_latencies: dict[str, _LatencyHistogram] = {}
+        self._workspace_outcomes: collections.Counter[tuple[str, str, str]] = collections.Counter()
+        self._outcomes: collections.Counter[tuple[str, str, str]] = collections.Counter()
+        self._missing_shards: collections.Counter[str] = collections.Counter()
         self._over_limit: collections.Counter[str] = collections.Counter()
-        self._reads: list[Callable[[], Mapping[str, Mapping[str, float]]]] = []
+        self._gauge_sources: list[Callable[[], Mapping[str, Mapping[str, float]]]] = []
 
     def on_end(
         self,
@@ -88,20 +88,20 @@
         if workspace is not None:
             self._count_workspace(workspace, status, reason, seconds)
         label = self._label(route)
-        _record(self._times, label, seconds)
-        self._ends[(label, status, reason)] += 1
+        _record(self._latencies, label, seconds)
+        self._outcomes[(label, status, reason)] += 1
         if found.covered < found.total:
-            self._missing[label] += found.total - found.covered
+            self._missing_shards[label] += found.total - found.covered
         if found.over_limit:
             self._over_limit[label] += 1
 
     def _count_workspace(
         self, workspace: str, status: str, reason: str, seconds: float | None = None
     ) -> None:
-        label = _labelled(self._workspaces, workspace, MAX_WORKSPACES)
-        self._workspace_ends[(label, status, reason)] += 1
+        label = _bounded_label(self._workspaces, workspace, MAX_WORKSPACES)
+        self._workspace_outcomes[(label, status, reason)] += 1
         if seconds is not None:
-            _record(self._workspace_times, label, seconds)
+            _record(self._workspace_latencies, label, seconds)
 
     def on_caller_gone(self, route: routes.Route, workspace: str | None = None) -> None:
         """Count a request whose caller left.
@@ -112,7 +112,7 @@
         """
         if workspace is not None:
             self._count_workspace(workspace, "0", "cancelled")
-        self._ends[(self._label(route), "0", "cancelled")] += 1
+        self._outcomes[(self._label(route), "0", "cancelled")] += 1
 
     def on_cut(self, route: routes.Route, workspace: str | None = None) -> None:
         """Count a request that the end of this process cut.
@@ -123,7 +123,7 @@
         """
         if workspace is not None:
             self._count_workspace(workspace, "0", "cut")
-        self._ends[(self._label(route), "0", "cut")] += 1
+        self._outcomes[(self._label(route), "0", "cut")] += 1
 
     def collect_from(self, read: Callable[[], Mapping[str, Mapping[str, float]]]) -> None:
         """Export counts that others keep.
@@ -131,7 +131,7 @@
         Args:
             read: Tells, for each metric, values by kind.
         """
-        self._reads.append(read)
+        self._gauge_sources.append(read)
 
     def export(self) -> bytes:
         """Write all metrics in Prometheus's text form."""
@@ -146,17 +146,19 @@
         """Tell all metrics to the Prometheus library."""
         from prometheus_client import core
 
-        yield _histogram(
+        yield _histogram_family(
             "lineworks_request_seconds",
             "Time from a request's first byte to its answer.",
             "route",
-            self._times,
+            self._latencies,
+        )
+        yield _outcome_family(
+            "lineworks_requests", "Requests by how they ended.", "route", self._outcomes
         )
-        yield _ends("lineworks_requests", "Requests by how they ended.", "route", self._ends)
         missing = core.CounterMetricFamily(
             "lineworks_missing_shards", "Shards that answers left out.", labels=("route",)
         )
-        for route, count in self._missing.items():
+        for route, count in self._missing_shards.items():
             missing.add_metric((route,), float(count))
         yield missing
         over_limit = core.CounterMetricFamily(
@@ -169,21 +171,21 @@
         yield over_limit
         if self._workspaces:
             yield from self._by_workspace()
-        for read in self._reads:
-            yield from _gauges(read())
+        for read in self._gauge_sources:
+            yield from _gauge_families(read())
 
     def _by_workspace(self) -> Iterable[Any]:
-        yield _ends(
+        yield _outcome_family(
             "lineworks_workspace_requests",
             "Requests of workspaces by how they ended.",
             "workspace",
-            self._workspace_ends,
+            self._workspace_outcomes,
         )
-        yield _histogram(
+        yield _histogram_family(
             "lineworks_workspace_seconds",
             "Time from a request's first byte to its answer, by workspace.",
             "workspace",
-            self._workspace_times,
+            self._workspace_latencies,
         )
 
     def describe(self) -> Iterable[Any]:
@@ -193,10 +195,10 @@
     def _label(self, route: routes.Route | None) -> str:
         if route is None:
             return "none"
-        return _labelled(self._routes, route.name, MAX_ROUTES)
+        return _bounded_label(self._routes, route.name, MAX_ROUTES)
 
 
-def _labelled(known: set[str], name: str, most: int) -> str:
+def _bounded_label(known: set[str], name: str, limit: int) -> str:
     """Choose the label of a name: the first names keep their own, later ones share one.
 
     Args:
@@ -205,21 +207,23 @@
         most: Names that get a label of their own.
     """
     if name not in known:
-        if len(known) >= most:
+        if len(known) >= limit:
             return _OTHER
         known.add(name)
     return name
 
 
-def _record(found: dict[str, _Times], label: str, seconds: float) -> None:
+def _record(found: dict[str, _LatencyHistogram], label: str, seconds: float) -> None:
     """Count a request's time under a label."""
     times = found.get(label)
     if times is None:
-        times = found[label] = _Times()
+        times = found[label] = _LatencyHistogram()
     times.record(seconds)
 
 
-def _histogram(name: str, text: str, label: str, found: Mapping[str, _Times]) -> Any:
+def _histogram_family(
+    name: str, text: str, label: str, found: Mapping[str, _LatencyHistogram]
+) -> Any:
     from prometheus_client import core
 
     family = core.HistogramMetricFamily(name, text, labels=(label,))
@@ -228,7 +232,9 @@
     return family
 
 
-def _ends(name: str, text: str, label: str, found: Mapping[tuple[str, str, str], int]) -> Any:
+def _outcome_family(
+    name: str, text: str, label: str, found: Mapping[tuple[str, str, str], int]
+) -> Any:
     from prometheus_client import core
 
     family = core.CounterMetricFamily(name, text, labels=(label, "status", "reason"))
@@ -237,7 +243,7 @@
     return family
 
 
-def _gauges(found: Mapping[str, Mapping[str, float]]) -> Iterable[Any]:
+def _gauge_families(found: Mapping[str, Mapping[str, float]]) -> Iterable[Any]:
     from prometheus_client import core
 
     for name, values in found.items():
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -23,6 +23,7 @@
     evidence_exchange,
     extra_keeper,
     front,
+    front_services,
     gatherers,
     gathering,
     metrics,
@@ -41,8 +42,7 @@
     target_book,
     target_calls,
     target_learning,
-    tools,
-    waiting_line,
+    wait_queue,
     workspace_view,
 )
 from lineworks.http1 import server_connection
@@ -60,11 +60,11 @@
 HEARTBEAT_SECONDS = 2.0
 """Seconds between heartbeats on a link: a silent link counts as lost after twice that."""
 
-BLIND_SECONDS = 3.0
+STALE_VIEW_SECONDS = 3.0
 """Age of the targets' view after which an instance that refuses most requests for lack of targets
 counts as not ready: it is cut off, and others may know better."""
 
-MOST_NAMED = 8
+MAX_TARGETS_PER_LINE = 8
 """Targets that a log line names at most."""
 
 _log = structlog.get_logger(component="node")
@@ -94,7 +94,7 @@
         self._port: Any = None
         self._rng = rng or random.Random(secrets.randbits(64))
         self._evacuated: frozenset[str] = frozenset()
-        self._counters = tools.Counters()
+        self._counters = front_services.Counters()
         self._metrics = metrics.RequestMetrics()
         self._extra = extra_attempts.ExtraAttempts(settings.allowance, reactor.seconds())
         self._links = peer_links.PeerLinks(
@@ -169,7 +169,7 @@
         self._quotas = quota_keeper.QuotaKeeper(
             reactor, settings.name, self._links, self._gatherers, self._ranks, holder
         )
-        shared = tools.Tools(
+        shared = front_services.FrontServices(
             reactor,
             settings.hall,
             self._book,
@@ -179,10 +179,12 @@
             self._keeper,
             self._suspects,
             self._quotas,
-            tools.HedgeTimes(),
+            front_services.HedgeTimes(),
             self._counters,
-            rate_limited_log.RateLimitedLog(reactor, "hedges", tools.HEDGE_LINES_PER_SECOND),
-            waiting_line.WaitingLine(reactor, search.ROOM_PAUSE, self._rng.random),
+            rate_limited_log.RateLimitedLog(
+                reactor, "hedges", front_services.HEDGE_LINES_PER_SECOND
+            ),
+            wait_queue.WaitQueue(reactor, search.ROOM_PAUSE, self._rng.random),
             without,
         )
         self._request_log = request_log.RequestLog(reactor, self._metrics)
@@ -208,18 +210,18 @@
             self._stop_listening,
         )
         self._kernel = registry.Kernel()
-        self._connect()
+        self._connect_services()
 
     @property
     def is_ready(self) -> bool:
         """Whether the balancer should send new connections."""
         if self._stop.is_begun or not self._directory.is_complete:
             return False
-        is_blind = self._directory.age > BLIND_SECONDS
-        return not (is_blind and self._front.is_mostly_refusing)
+        is_stale = self._directory.age > STALE_VIEW_SECONDS
+        return not (is_stale and self._front.is_mostly_refusing)
 
     @property
-    def known(self) -> directory.Directory:
+    def directory(self) -> directory.Directory:
         """What it knows of the configuration and the targets."""
         return self._directory
 
@@ -258,12 +260,12 @@
         self._stop.begin(self._reactor.seconds() if asked_at is None else asked_at)
         self._links.broadcast(self._heartbeat())
 
-    def _connect(self) -> None:
+    def _connect_services(self) -> None:
         """Tie the services together."""
         self._front.is_complete = lambda: self._directory.is_complete
         self._front.view_age = lambda: self._directory.age
         self._front.is_outdated = lambda: self._directory.is_outdated
-        self._front.on_unsure = self._directory.pull_at_once
+        self._front.on_uncertain_refusal = self._directory.pull_at_once
         self._front.ends_at = lambda: self._stop.answer_by
         self._front.is_over = lambda: self._stop.is_over
         self._ranks.is_leaving = lambda: self._stop.is_begun
@@ -279,7 +281,7 @@
         links.on_up.append(lambda hello: self._count_instances())
         links.on_down.append(lambda name: self._count_instances())
         links.on_closed_by.append(self._gatherer.on_origin_lost)
-        self._metrics.collect_from(self._counts)
+        self._metrics.collect_from(self._gauges)
         self._kernel.register("loop_delay", self._loop_delay)
         self._kernel.register("store", self._store)
         self._kernel.register("target_calls", self._calls)
@@ -330,7 +332,7 @@
             _log.warning("keys_no_longer_needed", version=table.version, before=before.version)
         self._front.set_table(table)
         self._quotas.set_workspaces(table.workspaces.all, table.version)
-        self._warn_of_unknown_homes(table)
+        self._warn_about_unknown_homes(table)
         self._on_targets()
         self._links.broadcast(self._heartbeat())
 
@@ -341,7 +343,7 @@
         self._suspects.on_store_return()
         self._links.broadcast(self._heartbeat())
 
-    def _warn_of_unknown_homes(self, table: routes.RouteTable) -> None:
+    def _warn_about_unknown_homes(self, table: routes.RouteTable) -> None:
         """Say which routes and workspaces name home regions that the deployment does not have."""
         known = set(self._settings.regions.values())
         for route in table.routes:
@@ -353,15 +355,15 @@
             if unknown:
                 _log.warning("unknown_home_regions", workspace=workspace.name, regions=unknown)
 
-    def _go_on_if_complete(self) -> None:
+    def _resume_held_requests(self) -> None:
         if self._directory.is_complete:
-            self._front.go_on()
+            self._front.resume_held()
 
     def _on_targets(self) -> None:
         table = self._front.table
         services = table.services if table is not None else {}
         evacuated = self._directory.evacuated
-        self._note_evacuated(evacuated)
+        self._update_evacuated(evacuated)
         now = self._reactor.seconds()
         change = self._book.update(self._directory.entries, services, evacuated, now)
         for state in change.gone:
@@ -377,10 +379,12 @@
         ):
             if states:
                 named = [f"{state.replica.target.service}/{state.id}" for state in states]
-                _log.info(kind, count=len(named), targets=named[:MOST_NAMED], view_age=age)
-        self._go_on_if_complete()
+                _log.info(
+                    kind, count=len(named), targets=named[:MAX_TARGETS_PER_LINE], view_age=age
+                )
+        self._resume_held_requests()
 
-    def _note_evacuated(self, halls: frozenset[str]) -> None:
+    def _update_evacuated(self, halls: frozenset[str]) -> None:
         """Say which halls get no new work from now on, and which do again."""
         age = round(self._directory.age, 3)
         for hall in sorted(halls - self._evacuated):
@@ -405,7 +409,7 @@
             self._stop.is_begun,
             self._directory.version,
             "",
-            self._seen_instances,
+            self._instance_count,
             self._store.era.value,
             self._gatherers.own_rate,
         )
@@ -420,19 +424,19 @@
         self._book.cold.note_count(self._extra.instances.value(now))
 
     @property
-    def _seen_instances(self) -> int:
+    def _instance_count(self) -> int:
         """Instances that are linked or listed, this one included; 0 while none is."""
         linked = len(self._links.up) + 1 if self._links.up else 0
-        return max(linked, self._registration.known)
+        return max(linked, self._registration.listed_count)
 
     def _count_instances(self) -> None:
         now = self._reactor.seconds()
-        self._extra.instances.note(self._seen_instances, now)
+        self._extra.instances.note(self._instance_count, now)
         self._book.cold.note_count(self._extra.instances.value(now))
         names = {self._settings.name, *self._links.up, *self._registration.names}
         self._book.cold.note_names(names, now)
 
-    def _counts(self) -> dict[str, dict[str, float]]:
+    def _gauges(self) -> dict[str, dict[str, float]]:
         now = self._reactor.seconds()
         counters = dataclasses.asdict(self._counters)
         return {
--- a/src/lineworks/forwarding/planned_stop.py
+++ b/src/lineworks/forwarding/planned_stop.py
@@ -19,7 +19,7 @@
     from lineworks.forwarding import front, gathering
     from lineworks.http1 import server_connection
 
-LOOK_SECONDS = 0.05
+POLL_SECONDS = 0.05
 """Seconds between looks for requests under way while the process stops."""
 
 _log = structlog.get_logger(component="node")
@@ -80,9 +80,9 @@
         """
         self._times = stop_times.plan(asked_at, self._grace)
         _log.info("stopping", name=self._name)
-        self._look(self._times)
+        self._poll(self._times)
 
-    def _look(self, times: stop_times.StopTimes) -> None:
+    def _poll(self, times: stop_times.StopTimes) -> None:
         """Do what is due, and end when the balancer has let go and no request is under way."""
         now = self._reactor.seconds()
         if now >= times.deregistered_by:
@@ -95,23 +95,23 @@
         if now >= times.answer_by:
             self._close_port()
             self._answer_all()
-        self._reactor.callLater(LOOK_SECONDS, self._look, times)
+        self._reactor.callLater(POLL_SECONDS, self._poll, times)
 
     def _may_end(self, times: stop_times.StopTimes, now: float) -> bool:
-        is_handed_over = now >= times.deregistered_by and not self._callers.connections
-        if is_handed_over and self._is_idle:
+        is_deregistered = now >= times.deregistered_by and not self._callers.connections
+        if is_deregistered and self._is_idle:
             return True
         # A process that stood still until then must answer first; one turn lets answers leave.
         return now >= times.end_by and self._answered is not None
 
-    def _close_idle(self, rest: float) -> None:
+    def _close_idle(self, min_idle: float) -> None:
         """Close connections without a request, but not while their first one may be on its way.
 
         Without that, 289 callers in 60 stops were closed out within milliseconds of their dial, and
         could not know that nothing had run.
         """
         for connection in list(self._callers.connections):
-            connection.close_if_idle(rest)
+            connection.close_if_idle(min_idle)
 
     def _close_port(self) -> None:
         """Take no new connections, but serve those that had connected by then.
@@ -146,7 +146,7 @@
             is_idle=self._is_idle,
             answered_at_end=self._answered or 0,
             connections=len(open_connections),
-            under_way=sum(one.is_busy for one in open_connections),
+            under_way=sum(connection.is_busy for connection in open_connections),
         )
         self.is_over = True
         self._reactor.callLater(0, self._reactor.stop)
--- a/src/lineworks/forwarding/registration.py
+++ b/src/lineworks/forwarding/registration.py
@@ -36,18 +36,18 @@
 RETRY_SECONDS = 1.0
 """Seconds between tries while the store fails."""
 
-AGAIN_PER_SECOND = 100.0
+REWRITES_PER_SECOND = 100.0
 """Instances that write their keys again each second after the store's return from an older copy:
 two writes each, half of what the store takes."""
 
-AGAIN_SECONDS = 0.5
+MIN_REWRITE_SPREAD_SECONDS = 0.5
 """Seconds over which few instances spread that."""
 
-NEW_SECONDS = 30.0
+RECENT_START_SECONDS = 30.0
 """Seconds after the start in which the list is read again with that: the one that was read may have
 lacked instances that started at the same time, and their keys may have been lost."""
 
-SECOND_LOOK_SECONDS = 0.8
+RELIST_DELAY_SECONDS = 0.8
 """Seconds after the registration at which the list is read: instances that start together have
 registered by then."""
 
@@ -79,7 +79,7 @@
         self._store = client
         self._links = links
         self._jitter = jitter
-        self._again: Any = None
+        self._pending_rewrite: Any = None
         self._started_at = reactor.seconds()
         self.on_listed: Callable[[], None] = lambda: None
         """Called when the instances that are listed have changed."""
@@ -87,7 +87,7 @@
         self._task = task.Task("registration", self._run)
 
     @property
-    def known(self) -> int:
+    def listed_count(self) -> int:
         """Instances listed, this one included once its key is; 0 while no list was read."""
         return len(self._members)
 
@@ -109,20 +109,20 @@
     def stop(self) -> None:
         """Stop renewing; the key goes with its lease."""
         self._task.stop()
-        if self._again is not None and self._again.active():
-            self._again.cancel()
+        if self._pending_rewrite is not None and self._pending_rewrite.active():
+            self._pending_rewrite.cancel()
 
     def on_store_return(self) -> None:
         """Write the key again soon: the store came back from a copy that may lack it.
 
         The lease is gone for certain, and instances that start lean on the key.
         """
-        if self._again is not None and self._again.active():
+        if self._pending_rewrite is not None and self._pending_rewrite.active():
             return
-        spread = max(AGAIN_SECONDS, self.known / AGAIN_PER_SECOND)
-        self._again = self._reactor.callLater(spread * self._jitter(), self._register_again)
+        spread = max(MIN_REWRITE_SPREAD_SECONDS, self.listed_count / REWRITES_PER_SECOND)
+        self._pending_rewrite = self._reactor.callLater(spread * self._jitter(), self._restart)
 
-    def _register_again(self) -> None:
+    def _restart(self) -> None:
         self._task.stop()
         self._task.start()
 
@@ -130,24 +130,24 @@
         while True:
             try:
                 lease = await self._register()
-                if self._reactor.seconds() - self._started_at < NEW_SECONDS:
-                    await self._look()
-                await self._keep(lease)
+                if self._reactor.seconds() - self._started_at < RECENT_START_SECONDS:
+                    await self._relist()
+                await self._renew_periodically(lease)
             except store.StoreError as error:
                 _log.warning("registration_failed", error=str(error))
                 await task.sleep(self._reactor, RETRY_SECONDS * (1 + self._jitter()))
 
     async def _register(self) -> store_items.Lease:
-        mine = self._settings
-        document = {"hall": mine.hall, "host": mine.peers.host, "port": mine.peers.port}
+        settings = self._settings
+        document = {"hall": settings.hall, "host": settings.peers.host, "port": settings.peers.port}
         lease = await self._store.grant_lease(LEASE_SECONDS)
         value = json.dumps(document).encode()
-        await self._store.transact([store_items.Write(PREFIX + mine.name, value, lease)])
+        await self._store.transact([store_items.Write(PREFIX + settings.name, value, lease)])
         return lease
 
-    async def _look(self) -> None:
+    async def _relist(self) -> None:
         """Read the list once those that started at the same time have written their keys."""
-        await task.sleep(self._reactor, SECOND_LOOK_SECONDS)
+        await task.sleep(self._reactor, RELIST_DELAY_SECONDS)
         listing = await self._store.list_items(PREFIX)
         self.on_changes(
             [store_items.Change(item.key, item.position, item.value) for item in listing.items]
@@ -164,7 +164,7 @@
             name = change.key.removeprefix(PREFIX)
             if name == change.key:
                 continue
-            listed = _member(name, change.value) if change.value is not None else None
+            listed = _decode_member(name, change.value) if change.value is not None else None
             if listed is not None:
                 self._members[name] = listed
                 is_changed = True
@@ -175,13 +175,13 @@
             self._links.set_wanted(self._members)
             self.on_listed()
 
-    async def _keep(self, lease: store_items.Lease) -> None:
+    async def _renew_periodically(self, lease: store_items.Lease) -> None:
         while True:
             await task.sleep(self._reactor, RENEW_SECONDS * (0.9 + self._jitter() / 5))
             await self._store.renew_lease(lease)
 
 
-def _member(name: str, value: bytes) -> member.Member | None:
+def _decode_member(name: str, value: bytes) -> member.Member | None:
     try:
         found = json.loads(value)
         host, port, hall = str(found["host"]), int(found["port"]), str(found["hall"])
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -28,7 +28,7 @@
     from collections.abc import Callable, Iterable, Mapping
 
     from lineworks.decisions import routes
-    from lineworks.forwarding import caution, target_calls, target_state, tools
+    from lineworks.forwarding import caution, front_services, target_calls, target_state
 
 WAIT_SHARE = 0.2
 """Share of the aim that a search waits for targets with room before it is refused: a refusal within
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        shared: tools.Tools,
+        shared: front_services.FrontServices,
         route: routes.Route,
         call: target_calls.TargetCall,
         care: caution.Caution,
@@ -121,7 +121,7 @@
         for shard in self._shards:
             shared.extra.note_request(shard.service, now)
         self._set_timer(self._call.deadline - now, self._on_deadline)
-        if shared.line.is_behind(self._claim, self._route.shards):
+        if shared.queue.has_waiter_ahead(self._claim, self._route.shards):
             self._wait_for_room()
         else:
             self._begin()
@@ -142,7 +142,7 @@
             self._wait_or_refuse(open_shards, now)
             return
         if not self._sent.count:
-            shared.line.note_served(self._call.workspace)
+            shared.queue.note_served(self._call.workspace)
         if self._care.is_trial:
             self._begin_trial(chosen, now)
             return
@@ -180,26 +180,26 @@
     def _wait_or_refuse(self, open_shards: int, now: float) -> None:
         """Wait a little for targets with room; a search that can't succeed loads no target."""
         reachable = sum(1 for shard in self._shards if self._has_any(shard))
-        line = self._shared.line
+        queue = self._shared.queue
         is_off = mechanisms.Mechanism.ROOM_WAIT in self._shared.without
-        may_wait = not is_off and not line.is_too_late(self._claim, now)
+        may_wait = not is_off and not queue.is_too_late(self._claim, now)
         last = self._arrived + WAIT_SHARE * self._route.slo - ROOM_PAUSE
         if may_wait and reachable >= self._needed and now < min(last, self._call.deadline):
             self._wait_for_room()
             return
         if not self._sent.count:
-            line.note_refused(self._call.workspace)
+            queue.note_refused(self._call.workspace)
         detail = f"{open_shards} of {len(self._shards)} shards have a target with room"
         # The target of a trial may have run it.
         certainty = self._what_is_known().certainty
         found = dataclasses.replace(outcome.no_target(self._route, detail), certainty=certainty)
-        self._finish_without(found, line.retry_after(outcome.RETRY_AFTER))
+        self._finish_without(found, queue.retry_after(outcome.RETRY_AFTER))
 
     def _wait_for_room(self) -> None:
         """Look again soon: in its turn where room is shared between workspaces."""
-        line = self._shared.line
-        if line.is_fair:
-            self._leave_line = line.wait(self._claim, self._route.shards, self._begin)
+        queue = self._shared.queue
+        if queue.is_fair:
+            self._leave_line = queue.wait(self._claim, self._route.shards, self._begin)
         else:
             self._set_timer(ROOM_PAUSE, self._begin)
 
@@ -265,7 +265,7 @@
             self._sent.ask_own_hall(near, now, is_hedge)
 
     def _may_retry(self, shard: search_state.Shard, now: float) -> bool:
-        return self._shared.may_spend(shard.service, now, workspace=self._call.workspace)
+        return self._shared.try_spend(shard.service, now, workspace=self._call.workspace)
 
     def _choose(self, shard: search_state.Shard, now: float) -> target_state.TargetState | None:
         return shard.choose(self._shared.book, self._route, now)
--- a/src/lineworks/forwarding/search_attempts.py
+++ b/src/lineworks/forwarding/search_attempts.py
@@ -24,7 +24,7 @@
     from collections.abc import Callable, Iterable, Sequence
 
     from lineworks.decisions import routes
-    from lineworks.forwarding import caution, tools
+    from lineworks.forwarding import caution, front_services
 
 FLUSH_LEAD = 0.004
 """Seconds that a gatherer's first parts should be here before the hedges are decided, and its last
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        shared: tools.Tools,
+        shared: front_services.FrontServices,
         route: routes.Route,
         call: target_calls.TargetCall,
         care: caution.Caution,
@@ -213,7 +213,7 @@
             floor=b"" if without_floor else self._floor(),
             deadline=deadline,
             flush_at=now if is_hedge else self.hedge_at - way - FLUSH_LEAD,
-            is_fair=shared.line.is_fair,
+            is_fair=shared.queue.is_fair,
             workspace=self._call.workspace,
             has_quota=self._call.has_quota,
             priority=self._route.priority,
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable, Sequence
 
     from lineworks.decisions import routes
-    from lineworks.forwarding import target_state, tools
+    from lineworks.forwarding import front_services, target_state
 
 MOST_SENT = 5
 """Attempts at one shard that reach a target. Those that reach none cost it nothing, and pauses keep
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        shared: tools.Tools,
+        shared: front_services.FrontServices,
         route: routes.Route,
         shards: Sequence[search_state.Shard],
         found: parts.PartSet,
@@ -189,7 +189,7 @@
             shard.not_hedged = search_state.NotHedged.TOO_LATE
             return None
         kept = extra_attempts.KEPT_FROM_HEDGES
-        if not self._shared.may_spend(shard.service, now, kept, self._workspace):
+        if not self._shared.try_spend(shard.service, now, kept, self._workspace):
             shard.not_hedged = search_state.NotHedged.NO_BUDGET
             if self._shared.spent_far_more(shard.service, now, self._workspace):
                 return None
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
     from lineworks.decisions import routes
-    from lineworks.forwarding import caution, target_state, tools
+    from lineworks.forwarding import caution, front_services, target_state
     from lineworks.http1 import client_connection
 
 ROOM_PAUSE = 0.02
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        shared: tools.Tools,
+        shared: front_services.FrontServices,
         route: routes.Route,
         service: str,
         call: target_calls.TargetCall,
@@ -89,7 +89,7 @@
         now = shared.reactor.seconds()
         shared.extra.note_request(self._service, now)
         self._set_timer(self._call.deadline - now, self._on_deadline)
-        if shared.line.is_behind(self._claim, (self._service,)):
+        if shared.queue.has_waiter_ahead(self._claim, (self._service,)):
             self._wait_for_room()
         else:
             self._place()
@@ -146,24 +146,24 @@
     def _refuse_for_room(self, now: float) -> None:
         shared = self._shared
         if not self._made:
-            shared.line.note_refused(self._call.workspace)
+            shared.queue.note_refused(self._call.workspace)
         detail = f"no target has room: {shared.book.describe(self._service, now)}"
         found = outcome.no_target(self._route, detail)
-        pause = shared.line.retry_after(outcome.RETRY_AFTER)
+        pause = shared.queue.retry_after(outcome.RETRY_AFTER)
         self._finish_without(found.reason, found.detail, pause)
 
     def _wait_for_room(self) -> None:
         """Look again soon: in its turn where room is shared between workspaces."""
-        line = self._shared.line
-        if line.is_fair:
-            self._leave_line = line.wait(self._claim, (self._service,), self._place)
+        queue = self._shared.queue
+        if queue.is_fair:
+            self._leave_line = queue.wait(self._claim, (self._service,), self._place)
         else:
             self._set_timer(ROOM_PAUSE, self._place)
 
     def _may_wait(self, now: float) -> bool:
         if mechanisms.Mechanism.ROOM_WAIT in self._shared.without:
             return False
-        if self._shared.line.is_too_late(self._claim, now):
+        if self._shared.queue.is_too_late(self._claim, now):
             return False
         if not self._has_any():
             return False
@@ -172,7 +172,7 @@
 
     def _send(self, state: target_state.TargetState, now: float, is_hedge: bool) -> None:
         if not self._made:
-            self._shared.line.note_served(self._call.workspace)
+            self._shared.queue.note_served(self._call.workspace)
         attempt = attempts.Attempt(state, now, is_hedge)
         self._made.append(attempt)
         self._running.append(attempt)
@@ -248,7 +248,7 @@
         if is_free and not answers.was_sent(last):
             return True
         now = shared.reactor.seconds()
-        return shared.may_spend(self._service, now, workspace=self._call.workspace)
+        return shared.try_spend(self._service, now, workspace=self._call.workspace)
 
     def _may_ask(self) -> bool:
         return self._asks < extra_keeper.MOST_ASKS
@@ -273,7 +273,7 @@
         state = self._choose(now)
         if state is None:
             return
-        if not shared.may_spend(self._service, now, workspace=self._call.workspace):
+        if not shared.try_spend(self._service, now, workspace=self._call.workspace):
             if self._may_ask():
                 self._ask_for_extra(self._on_hedge)
             return
--- a/src/lineworks/forwarding/waiting_line.py
+++ b/src/lineworks/forwarding/wait_queue.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Place:
+class _Waiter:
     """One that waits."""
 
     claim: fair_shares.Claim
@@ -26,15 +26,15 @@
     services: frozenset[str]
     """Services at which it wants room."""
 
-    look: Callable[[], None]
+    retry: Callable[[], None]
     """Looks for room."""
 
 
-class WaitingLine:
+class WaitQueue:
     """Those that wait at one front, or at one gatherer."""
 
     def __init__(
-        self, reactor: Any, look_seconds: float, draw: Callable[[], float] = lambda: 0.5
+        self, reactor: Any, retry_seconds: float, draw: Callable[[], float] = lambda: 0.5
     ) -> None:
         """Start with nobody waiting, and no order.
 
@@ -44,9 +44,9 @@
             draw: Draws from 0 to 1, to spread the return of callers that are refused.
         """
         self._reactor = reactor
-        self._look_seconds = look_seconds
+        self._retry_seconds = retry_seconds
         self._draw = draw
-        self._places: list[_Place] = []
+        self._waiters: list[_Waiter] = []
         self._timer: Any = None
         self.is_fair = False
         """Whether the configuration has workspaces, between which room is shared."""
@@ -56,7 +56,7 @@
     @property
     def length(self) -> int:
         """How many wait."""
-        return len(self._places)
+        return len(self._waiters)
 
     def note_served(self, workspace: str) -> None:
         """Count a request that found room.
@@ -88,7 +88,7 @@
         """
         return self.is_fair and not claim.can_be_in_time(now)
 
-    def is_behind(self, claim: fair_shares.Claim, services: Collection[str]) -> bool:
+    def has_waiter_ahead(self, claim: fair_shares.Claim, services: Collection[str]) -> bool:
         """Say whether a newcomer would pass one that goes before it.
 
         Args:
@@ -98,17 +98,17 @@
         Returns:
             Whether one that waits for any of the same services goes before it.
         """
-        if not self._places:
+        if not self._waiters:
             return False
         now = self._reactor.seconds()
         return any(
-            not place.services.isdisjoint(services)
-            and self.shares.goes_before(place.claim, claim, now)
-            for place in self._places
+            not waiter.services.isdisjoint(services)
+            and self.shares.goes_before(waiter.claim, claim, now)
+            for waiter in self._waiters
         )
 
     def wait(
-        self, claim: fair_shares.Claim, services: Collection[str], look: Callable[[], None]
+        self, claim: fair_shares.Claim, services: Collection[str], retry: Callable[[], None]
     ) -> Callable[[], None]:
         """Take a place until the next look.
 
@@ -120,14 +120,14 @@
         Returns:
             A function that leaves the line.
         """
-        place = _Place(claim, frozenset(services), look)
-        self._places.append(place)
+        waiter = _Waiter(claim, frozenset(services), retry)
+        self._waiters.append(waiter)
         if self._timer is None:
-            self._timer = self._reactor.callLater(self._look_seconds, self._look)
+            self._timer = self._reactor.callLater(self._retry_seconds, self._retry_all)
 
         def leave() -> None:
-            if place in self._places:
-                self._places.remove(place)
+            if waiter in self._waiters:
+                self._waiters.remove(waiter)
 
         return leave
 
@@ -143,16 +143,16 @@
         """
         return fair_shares.spread_pause(pause, self._draw()) if self.is_fair else None
 
-    def _look(self) -> None:
+    def _retry_all(self) -> None:
         """Let all that wait look for room, in the order of fair shares."""
         self._timer = None
-        waiting, self._places = self._places, []
+        waiting, self._waiters = self._waiters, []
         now = self._reactor.seconds()
-        claims = [place.claim for place in waiting]
-        turns = [waiting[number] for number in self.shares.order(claims, now)]
+        claims = [waiter.claim for waiter in waiting]
+        ordered = [waiting[number] for number in self.shares.order(claims, now)]
         # Whoever leaves while others are tried must not be tried any more.
-        self._places = turns
-        for place in list(turns):
-            if place in self._places:
-                self._places.remove(place)
-                place.look()
+        self._waiters = ordered
+        for waiter in list(ordered):
+            if waiter in self._waiters:
+                self._waiters.remove(waiter)
+                waiter.retry()
--- a/tests/test_api_keys.py
+++ b/tests/test_api_keys.py
@@ -323,10 +323,10 @@
     cut(world, "akl-1", deployment.STORE_ADDRESS, world.address_of("akl-2"))
     world.workspaces = listed(north=(NORTH, OTHER))
     world.configure(ROUTES)
-    while world.nodes["wlg-1"].known.version < world.version:
+    while world.nodes["wlg-1"].directory.version < world.version:
         world.run(0.02)
     world.run(0.02)
-    assert world.nodes["akl-1"].known.version == world.version - 1
+    assert world.nodes["akl-1"].directory.version == world.version - 1
     first = world.ask("akl-1", "/read/q", key=OTHER, attempt="first")
     world.run(0.1)
     assert first.status == 503
@@ -336,12 +336,12 @@
 
 def test_a_peer_that_is_ahead_is_asked_seldom_however_many_callers_wait():
     world = build()
-    known = world.nodes["akl-1"].known
+    directory = world.nodes["akl-1"].directory
     pulls = []
-    send = known._links.send
-    known._links.send = lambda name, frame: pulls.append(frame) or send(name, frame)
+    send = directory._links.send
+    directory._links.send = lambda name, frame: pulls.append(frame) or send(name, frame)
     for _ in range(50):
-        known.on_peer_version("wlg-1", known.version + 1)
+        directory.on_peer_version("wlg-1", directory.version + 1)
         world.ask("akl-1", "/read/q", key=OTHER)
         world.run(0.02)
     assert 1 <= sum(isinstance(frame, node_frames.TablePull) for frame in pulls) <= 3
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -13,7 +13,7 @@
 from twisted.internet import task
 
 from lineworks.decisions import extra_attempts, fair_shares
-from lineworks.forwarding import tools, waiting_line
+from lineworks.forwarding import front_services, wait_queue
 from lineworks.platform.standins import documents
 from tests import test_forwarding
 
@@ -229,17 +229,17 @@
 
 def _spend_all(is_fair):
     """Let a hot workspace take all extra attempts that it gets, then a calm one."""
-    line = waiting_line.WaitingLine(task.Clock(), 0.01)
-    line.is_fair = is_fair
+    queue = wait_queue.WaitQueue(task.Clock(), 0.01)
+    queue.is_fair = is_fair
     extra = extra_attempts.ExtraAttempts(extra_attempts.Allowance(), 0.0)
-    shared = mock.create_autospec(tools.Tools, instance=True)
-    shared.line, shared.extra, shared.counters = line, extra, tools.Counters()
-    shared.spent_far_more = functools.partial(tools.Tools.spent_far_more, shared)
+    shared = mock.create_autospec(front_services.FrontServices, instance=True)
+    shared.queue, shared.extra, shared.counters = queue, extra, front_services.Counters()
+    shared.spent_far_more = functools.partial(front_services.FrontServices.spent_far_more, shared)
     for name in ("hot", "calm"):
-        line.note_served(name)
+        queue.note_served(name)
     for _ in range(200):
         extra.note_request("s", 0.0)
-    spend = functools.partial(tools.Tools.may_spend, shared, "s", 0.0)
+    spend = functools.partial(front_services.FrontServices.try_spend, shared, "s", 0.0)
     return [sum(spend(workspace=name) for _ in range(100)) for name in ("hot", "calm")]
 
 
@@ -255,8 +255,8 @@
 
     def build(self):
         clock = task.Clock()
-        line = waiting_line.WaitingLine(clock, 0.01)
-        line.is_fair = True
+        queue = wait_queue.WaitQueue(clock, 0.01)
+        queue.is_fair = True
         tried = []
 
         def claim(name, priority=1):
@@ -266,41 +266,41 @@
             def look():
                 tried.append(name)
 
-            return line.wait(claim(name, priority), (service,), look)
+            return queue.wait(claim(name, priority), (service,), look)
 
-        return clock, line, tried, claim, wait
+        return clock, queue, tried, claim, wait
 
     def test_those_that_wait_are_tried_in_order_and_once(self):
-        clock, line, tried, _, wait = self.build()
-        line.note_served("hot")
+        clock, queue, tried, _, wait = self.build()
+        queue.note_served("hot")
         wait("hot")
         wait("calm")
         wait("urgent", priority=0)
         clock.advance(1.0)
         assert tried == ["urgent", "calm", "hot"]
-        assert line.length == 0
+        assert queue.length == 0
 
     def test_a_newcomer_passes_only_those_that_it_goes_before(self):
-        _, line, _, claim, wait = self.build()
+        _, queue, _, claim, wait = self.build()
         wait("calm")
-        assert line.is_behind(claim("calm"), ("s",)) is False
-        assert line.is_behind(claim("late", 2), ("s", "t"))
-        assert not line.is_behind(claim("late", 2), ("t",))
-        assert not line.is_behind(claim("urgent", 0), ("s",))
+        assert queue.has_waiter_ahead(claim("calm"), ("s",)) is False
+        assert queue.has_waiter_ahead(claim("late", 2), ("s", "t"))
+        assert not queue.has_waiter_ahead(claim("late", 2), ("t",))
+        assert not queue.has_waiter_ahead(claim("urgent", 0), ("s",))
 
     def test_one_that_leaves_is_not_tried_also_while_others_are(self):
-        clock, line, tried, claim, wait = self.build()
+        clock, queue, tried, claim, wait = self.build()
         leave = wait("late", priority=2)
-        line.wait(claim("first", 0), ("s",), leave)
+        queue.wait(claim("first", 0), ("s",), leave)
         clock.advance(1.0)
         assert tried == []
 
     def test_callers_that_are_refused_come_back_spread(self):
         draws = iter((0.0, 0.5, 1.0))
-        line = waiting_line.WaitingLine(task.Clock(), 0.01, lambda: next(draws))
-        assert line.retry_after(0.2) is None
-        line.is_fair = True
-        assert [line.retry_after(0.2) for _ in range(3)] == pytest.approx([0.1, 0.2, 0.3])
+        queue = wait_queue.WaitQueue(task.Clock(), 0.01, lambda: next(draws))
+        assert queue.retry_after(0.2) is None
+        queue.is_fair = True
+        assert [queue.retry_after(0.2) for _ in range(3)] == pytest.approx([0.1, 0.2, 0.3])
 
 
 def _play_reads(is_fair):
@@ -313,9 +313,9 @@
     world.workspaces = [documents.workspace(name, f"key-{name}") for name in names]
     world.configure([test_forwarding.READ])
     world.run(2.0)
-    line = world.nodes["akl-1"]._front._shared.line
-    assert line.is_fair
-    line.is_fair = is_fair
+    queue = world.nodes["akl-1"]._front._shared.queue
+    assert queue.is_fair
+    queue.is_fair = is_fair
     senders = [Sender("hot", 300.0)] + [Sender(name, 10.0) for name in names[1:]]
     begin = world.clock.seconds()
     replies = collections.defaultdict(list)
@@ -342,11 +342,11 @@
 def test_without_workspaces_nothing_waits_in_an_order():
     world = test_forwarding.build()
     replies = [world.ask("akl-1", "/read/x") for _ in range(60)]
-    line = world.nodes["akl-1"]._front._shared.line
+    queue = world.nodes["akl-1"]._front._shared.queue
     for _ in range(30):
         world.run(0.005)
-        assert line.length == 0
-    assert not line.is_fair
+        assert queue.length == 0
+    assert not queue.is_fair
     assert {reply.status for reply in replies} >= {200}
     refused = [reply for reply in replies if reply.status == 503]
     assert {reply.headers["retry-after"] for reply in refused} <= {"0.25"}
--- a/tests/test_older_copy.py
+++ b/tests/test_older_copy.py
@@ -56,14 +56,14 @@
 
 
 def versions(world):
-    return {name: node.known.version for name, node in world.nodes.items()}
+    return {name: node.directory.version for name, node in world.nodes.items()}
 
 
 def entries(world, target):
     """What each instance holds of a target: None, or whether it is leaving."""
     found = {}
     for name, node in world.nodes.items():
-        held = {entry.id: entry.is_leaving for entry in node.known.entries}
+        held = {entry.id: entry.is_leaving for entry in node.directory.entries}
         found[name] = held.get(target.name)
     return found
 
@@ -149,7 +149,7 @@
     look(world)
     world.evacuate("akl")
     world.run(IN_FORCE)
-    assert {node.known.evacuated for node in world.nodes.values()} == {frozenset({"akl"})}
+    assert {node.directory.evacuated for node in world.nodes.values()} == {frozenset({"akl"})}
 
 
 def test_an_evacuation_of_the_time_that_was_lost_is_obeyed_all_the_while(world):
@@ -159,7 +159,7 @@
     world.drill.come_back(copy, rewritten_after=1.5)
     for _ in range(40):
         world.run(0.1)
-        assert {node.known.evacuated for node in world.nodes.values()} == {frozenset({"akl"})}
+        assert {node.directory.evacuated for node in world.nodes.values()} == {frozenset({"akl"})}
 
 
 def test_an_evacuation_that_the_operators_do_not_repeat_ends(world):
@@ -168,7 +168,7 @@
     look(world)
     world.store.come_back(copy)
     look(world, 6.0)
-    assert {node.known.evacuated for node in world.nodes.values()} == {frozenset()}
+    assert {node.directory.evacuated for node in world.nodes.values()} == {frozenset()}
 
 
 def test_the_keys_of_all_instances_are_back_soon(world):
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -54,7 +54,7 @@
     assert begun <= 6 * len(world.nodes) + 1.5 * 5 * len(deployment.HALLS)
     world.configure([{"Name": "billing", "PathPrefix": "/billing/", "Service": "billing"}])
     world.run(0.3)
-    assert all(node.known.version == 1 for node in world.nodes.values())
+    assert all(node.directory.version == 1 for node in world.nodes.values())
 
 
 def _reads(world):
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -132,7 +132,7 @@
     world.workspaces = [documents.workspace("north", "a", "a")]
     world.configure([test_forwarding.READ])
     world.run(3.0)
-    assert {node.known.version for node in world.nodes.values()} == {world.version - 1}
+    assert {node.directory.version for node in world.nodes.values()} == {world.version - 1}
     assert test_foreign_entries.statuses(world) == {200}
 
 
