--- a/src/lineworks/forwarding/__init__.py
+++ b/src/lineworks/forwarding/__init__.py
@@ -1,5 +1,6 @@
-"""Opaque HTTP requests of callers: routed by host and path, sent to one target or to every shard.
+"""Forwards opaque HTTP requests, routed by host and path, to one target or to every shard.
 
-The front takes a request, chooses its targets and answers; gatherers in other data halls ask
-their targets for it and merge before anything travels. See docs/design/platform.md.
+The front accepts a request, chooses its targets and answers it. Gatherers in other data halls query
+their local targets for it and merge the results before sending them back. See
+docs/design/platform.md.
 """
--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -1,8 +1,9 @@
 """Keeps the configuration and the targets up to date, with few calls to the platform's store.
 
-In each data hall one instance asks the store in short intervals and tells its peers what changed;
-the others ask only when they hear nothing. So the calls grow with the halls, not with the
-instances, and no instance depends on another: one whose knowledge gets old asks for itself.
+In each data hall one instance, the reader, polls the store at short intervals and sends the changes
+to its peers; the others poll only when they receive nothing. So the number of calls grows with the
+halls, not with the instances, and no instance depends on another: one whose data becomes stale
+polls the store itself.
 """
 
 from __future__ import annotations
@@ -26,53 +27,56 @@
     from lineworks.wire import frames
 
 NEVER_READ_AGE = 1e9
-"""Age, in seconds, that stands for never: logs and metrics have no infinity."""
+"""Age, in seconds, reported before anything was read: logs and metrics can't express infinity."""
 
 TICK_SECONDS = 0.05
-"""Seconds between looks at whether the store should be asked."""
+"""Seconds between checks whether a call to the store or another timeout is due."""
 
 POLL_SECONDS = 1.2
-"""Age of the knowledge, in seconds, at which a hall's reader asks the store. With the answer and
-the way to the peers it stays well below the three seconds in which a change must be in force."""
+"""Age of the data, in seconds, at which a hall's reader polls the store. Including the response
+time and the delay to the peers, it is well below the three seconds within which a change must be in
+force."""
 
 FALLBACK_SECONDS = 1.9
-"""Age at which any instance asks for itself, because its hall's reader is silent."""
+"""Age of the data, in seconds, at which any instance polls the store itself, because it has heard
+nothing from its hall's reader."""
 
 FALLBACK_SPREAD = 0.2
-"""Seconds over which instances spread their own first calls."""
+"""Seconds over which instances spread the start of such fallback calls."""
 
 RETRY_SECONDS = 0.4
-"""Seconds between calls while the store fails; doubled with each failure."""
+"""Initial pause between calls while the store fails, in seconds; doubled with each failure."""
 
 MAX_RETRY_SECONDS = 1.0
-"""Seconds between calls while the store fails at most: its return must be noticed soon."""
+"""Maximum pause between calls while the store fails, in seconds: its recovery must be detected
+quickly."""
 
 INCOMPLETE_RETRY_SECONDS = 0.2
-"""Seconds between calls while nothing can be served: they fail, or the store holds no configuration
-yet. Callers are refused meanwhile, and such a call costs little."""
+"""Pause between calls, in seconds, while no request can be served because the calls fail or the
+store holds no configuration yet. Callers are refused in the meantime, and such a call is cheap."""
 
 PULL_DELAY_SECONDS = 1.5
-"""Seconds that a peer may be known to have a newer configuration before it is asked for it: the
-store or the hall's reader usually bring it by then, without bytes between regions."""
+"""Seconds between learning that a peer has a newer configuration and requesting it from that peer.
+The store or the hall's reader usually delivers it by then, without traffic between regions."""
 
 MIN_PULL_INTERVAL = 0.5
-"""Seconds between pulls from peers at least: all peers tell of a new configuration at about the
-same time, and an answer from another region takes less."""
+"""Minimum seconds between pulls from peers: all peers announce a new configuration at about the
+same time, and a response from another region takes less than this."""
 
 UNCERTAIN_SECONDS = 3.0
-"""Seconds after the start, and after the store's return from an older copy, in which a peer with a
-newer configuration is asked for it at once: what the store shows may be older than what was in
-force."""
+"""Seconds after the start, and after the store was restored from an older copy, during which a
+newer configuration is pulled from a peer immediately: the store's version may be older than the one
+that was in force."""
 
 MAX_REFUSED_LINES_PER_SECOND = 5.0
-"""Log lines a second for entries that name no target to use: anybody may write any number."""
+"""Maximum log lines per second for invalid target entries: anybody may write any number of them."""
 
 _ALL_KEYS = ""
 _log = structlog.get_logger(component="directory")
 
 
 class Directory:
-    """What one instance knows of the configuration and the targets."""
+    """One instance's copy of the configuration, the targets and the evacuated data halls."""
 
     def __init__(
         self,
@@ -83,13 +87,13 @@
         client: store.Store,
         links: peer_links.PeerLinks,
     ) -> None:
-        """Start without knowledge.
+        """Create an empty directory.
 
         Args:
             reactor: Twisted's reactor.
-            rng: Spreads calls.
+            rng: Source of the random delays that spread calls.
             name: Name of this instance.
-            hall: Its data hall.
+            hall: Data hall of this instance.
             client: The platform's store.
             links: Links to the other instances.
         """
@@ -123,7 +127,7 @@
             reactor, "directory", MAX_REFUSED_LINES_PER_SECOND
         )
         self.refused_entries = 0
-        """Entries read that name no target to use."""
+        """Number of invalid target entries read."""
         self.on_table: Callable[[routes.RouteTable], None] = lambda table: None
         self.on_targets: Callable[[], None] = lambda: None
         self.on_instances: Callable[[Sequence[store_items.Change]], None] = lambda rows: None
@@ -134,12 +138,12 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether there are a configuration and targets to work with."""
+        """Whether both the configuration and the targets have been received."""
         return self._table is not None and self._has_targets
 
     @property
     def version(self) -> int:
-        """Version of the configuration in force; 0 for none."""
+        """Version of the configuration in force; 0 if there is none."""
         return self._table.version if self._table is not None else 0
 
     @property
@@ -149,41 +153,44 @@
 
     @property
     def age(self) -> float:
-        """Seconds since the store is known to have held nothing newer; `NEVER_AGE` at first."""
+        """Seconds since the data was known to be current; `NEVER_READ_AGE` at first."""
         return min(NEVER_READ_AGE, self._reactor.seconds() - self._fresh_at)
 
     @property
     def entries(self) -> Iterable[target_view.TargetEntry]:
-        """Entries of all targets."""
+        """The entries of all targets."""
         return self._view.entries.values()
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Data halls whose targets get no new work."""
+        """Data halls whose targets get no new requests."""
         return self._evacuations.halls
 
     def start(self) -> None:
-        """Begin to ask the store."""
+        """Start polling the store."""
         self._uncertain_since = self._reactor.seconds()
         self._task.start()
 
     def stop(self) -> None:
-        """Stop asking."""
+        """Stop polling."""
         self._task.stop()
 
     def on_store_return(self) -> None:
-        """Note that the store came back from an older copy: others have yet to write again."""
+        """Handle that the store was restored from an older copy: lost writes have yet to be redone.
+
+        Until then missing entries prove nothing, and entries that reappeared are doubted.
+        """
         now = self._reactor.seconds()
         self._uncertain_since = now
         self._hold_until = max(self._hold_until, now + target_view.LAPSE_GRACE)
         self._doubt_until = now + target_view.DOUBT_SECONDS
 
     def on_peer_version(self, peer: str, version: int) -> None:
-        """Note the version in force at a peer; if this instance stays behind, it asks for it.
+        """Record the version in force at a peer, and pull it if this instance stays behind.
 
         Args:
             peer: The peer.
-            version: Version in force there.
+            version: Version in force at the peer.
         """
         if version <= self.version:
             return
@@ -191,26 +198,27 @@
         if self._newer_peer is None:
             self._newer_since = self._reactor.seconds()
         self._newer_peer = peer
-        # Now, and not after a call to the store that may be under way for a while.
+        # Immediately, because a call to the store may be in progress for a while.
         self._pull_if_behind()
 
     def _pull_if_behind(self) -> None:
-        """Ask a peer for what it has, when the store and the own hall did not bring it in time."""
+        """Pull from a peer if neither the store nor the hall's reader delivered in time."""
         if self._newer_peer is None:
             return
         now = self._reactor.seconds()
         is_uncertain = self.version > 0 and now - self._uncertain_since < UNCERTAIN_SECONDS
-        # Neither the store nor the hall's reader brings it to one whose own calls fail.
+        # An instance whose own calls fail, and whose reader sends nothing, can't expect it from
+        # either.
         is_cut_off = self._failures > 0 and self.age >= FALLBACK_SECONDS
         if is_uncertain or is_cut_off or now - self._newer_since >= PULL_DELAY_SECONDS:
             self._pull()
 
     def pull_at_once(self) -> None:
-        """Ask a peer that is ahead for what it has, because a caller is refused for lack of it."""
+        """Pull the newer configuration from a peer, because a caller was refused for lack of it."""
         self._pull()
 
     def _pull(self) -> None:
-        """Ask a peer that is ahead, unless one was asked just now."""
+        """Pull the newer configuration from a peer, unless the last pull was too recent."""
         now = self._reactor.seconds()
         if self._newer_peer is None or now < self._pulled_at + MIN_PULL_INTERVAL:
             return
@@ -227,7 +235,7 @@
             await task.sleep(self._reactor, TICK_SECONDS)
 
     def _apply_timeouts(self) -> None:
-        """Let go of what is missing, and believe what is there again, when its time has come."""
+        """Drop missing entries, and accept doubted ones, whose waiting time has passed."""
         now = self._reactor.seconds()
         is_changed = self._view.expire(now)
         is_changed |= self._view.believe(now)
@@ -240,18 +248,18 @@
             return False
         if not self.is_complete and not self._is_unconfigured:
             return True
-        # Age first: who reads is found by looking at every link.
+        # The age is checked first, because finding the reader takes a look at every link.
         age = self.age
         if age < (POLL_SECONDS if self.is_complete else INCOMPLETE_RETRY_SECONDS):
             return False
         return age >= FALLBACK_SECONDS + self._fallback_delay or self._is_reader()
 
     def _is_reader(self) -> bool:
-        """Say whether this instance reads the store for its hall."""
+        """Return whether this instance reads the store for its hall."""
         return hall_peers.acts_for_hall(self._links, self._hall, self._name, "reader")
 
     async def _read_store(self) -> None:
-        """Ask the store what is new, or for everything at first."""
+        """Read the changes from the store, or everything on the first call."""
         asked_at = self._reactor.seconds()
         try:
             if self._view.position != positions.ABSENT:
@@ -262,14 +270,14 @@
             self._on_failure(str(error), isinstance(error, store.StoreBusyError))
             return
         except Exception as error:
-            # A fault in one answer must not end the task that all knowledge comes through.
+            # An error in one response must not end the task that provides all updates.
             _log.error("ask_failed", error=repr(error))
             self._on_failure(repr(error), is_busy=False)
             return
         self._on_success()
 
     async def _read_all(self, asked_at: float) -> None:
-        """Read everything there is."""
+        """Read all items of the store."""
         listing = await self._store.list_items(_ALL_KEYS)
         rows = [store_items.Change(item.key, item.position, item.value) for item in listing.items]
         is_changed = self._replace(_evacuation_changes(rows), self._decode(rows), listing.position)
@@ -287,15 +295,15 @@
         position: positions.Position,
         held: Mapping[str, float] | None = None,
     ) -> bool:
-        """Take in everything as it was at one position; say whether anything changed."""
+        """Replace all data by a snapshot at one position; return whether anything changed."""
         hold = self._hold_deadline()
-        # Before the targets are known, so that a hall that is to be left alone gets nothing.
+        # Evacuations come before the targets, so that an evacuated hall gets no request.
         is_changed = self._evacuations.replace(evacuation_changes, position, hold)
         is_changed |= self._view.replace(entries, position, hold, self._doubt_until, held)
         return is_changed
 
     async def _read_changes(self, asked_at: float) -> None:
-        """Read what changed since the last time."""
+        """Read the changes since the last call."""
         before = self._view.position
         try:
             found = await self._store.watch(_ALL_KEYS, before, 0.0)
@@ -310,7 +318,7 @@
                 in_force=self.version,
             )
             return
-        # An entry that came back while its removal was held up is news to the peers as well.
+        # An entry that came back while its removal was pending is a change for the peers as well.
         known = self._view.certain()
         entries = self._decode(found.changes)
         evacuation_changes = _evacuation_changes(found.changes)
@@ -335,7 +343,7 @@
             entry = None
             if row.value is not None:
                 entry = self._decode_entry(row.key, row.value)
-            # An entry that can't be used takes the place of the one that was there before.
+            # An invalid entry replaces the previous one: the target counts as removed.
             changes.append(target_view.TargetChange(name, row.position, entry))
         return changes
 
@@ -348,7 +356,7 @@
             return None
 
     def _apply_other_keys(self, rows: Sequence[store_items.Change]) -> None:
-        """Take in what is no target's entry: the configuration and the instances' keys."""
+        """Apply items other than target entries: the configuration and the instances' keys."""
         for row in rows:
             if row.key == configuration.KEY and row.value is not None:
                 self._apply_table(row.value, row.position.era)
@@ -374,7 +382,7 @@
             self._links.send(name, update)
 
     def _send_all(self, names: Iterable[str]) -> None:
-        """Give peers everything that is known, and how far it is settled."""
+        """Send peers all targets and evacuations, and which of the entries are unsettled."""
         known = self._view.all_changes()
         unsettled = self._view.unsettled(self._reactor.seconds())
         evacuation_changes = self._evacuations.all_changes()
@@ -398,7 +406,7 @@
             self._links.send(name, update)
 
     def _on_target_update(self, link: Any, frame: node_frames.TargetUpdate) -> None:
-        """Take in what a peer read from the store."""
+        """Apply what a peer read from the store."""
         self._store.era.learn(frame.position.era)
         is_outdated = frame.position.era < self._view.position.era
         if is_outdated or frame.after > self._view.position:
@@ -425,7 +433,7 @@
         self._correct_peer(link.hello.name, changes)
 
     def _held_until(self, unsettled: Iterable[target_view.Unsettled]) -> dict[str, float]:
-        """Tell until when a peer keeps entries that are missing."""
+        """Return, by target, until when a peer keeps entries that are missing."""
         now = self._reactor.seconds()
         return {
             one.change.id: now + one.seconds
@@ -434,7 +442,7 @@
         }
 
     def _correct_peer(self, peer: str, listed: Iterable[target_view.TargetChange]) -> None:
-        """Tell a peer what had gone or was leaving of what it lists: it may have just started."""
+        """Correct a peer that lists targets which are gone or leaving: it may have just started."""
         corrections = self._view.contradict(listed, self._reactor.seconds())
         if corrections:
             self._send_update([peer], self._view.position, [], unsettled=corrections)
@@ -444,14 +452,14 @@
             self._apply_table(frame.document, frame.era)
 
     def _on_pull(self, link: Any, frame: node_frames.TablePull) -> None:
-        """Give a peer what it lacks."""
+        """Send a peer a newer configuration; if it has none, the targets as well."""
         if self._table is not None and self.version > frame.version:
             link.send(node_frames.TableUpdate(self.version, self._document, self._table_era))
         if frame.version == 0 and self._has_targets:
             self._send_all([link.hello.name])
 
     def _on_up(self, hello: frames.Hello) -> None:
-        """Ask a peer for everything while nothing is known and the store does not answer."""
+        """Pull everything from a new peer while the directory is incomplete and the store fails."""
         if not self.is_complete and self._failures:
             self._links.send(hello.name, node_frames.TablePull(0))
 
@@ -460,7 +468,7 @@
             self._links.send(name, node_frames.TablePull(0))
 
     def _hold_deadline(self) -> float:
-        """Tell until when missing entries prove nothing; 0 outside an outage."""
+        """Return until when missing entries prove nothing; 0 if there was no recent outage."""
         now = self._reactor.seconds()
         if self._outage_since is not None:
             return float(now + target_view.LAPSE_GRACE)
@@ -481,13 +489,13 @@
 
     def _on_success(self) -> None:
         self._failures = 0
-        # The store holds no configuration: more calls would bring nothing, and whoever reads for
-        # the hall will tell of one.
+        # If the store holds no configuration, more calls would not help, and the hall's reader
+        # will send one.
         self._is_unconfigured = self._table is None
         self._end_outage()
 
     def _end_outage(self) -> None:
-        """Note that the store answers, here or at a peer."""
+        """End the outage, if there is one: the store has answered this instance or a peer."""
         if self._outage_since is None:
             return
         now = self._reactor.seconds()
@@ -499,7 +507,7 @@
 def _evacuation_changes(
     rows: Iterable[store_items.Change],
 ) -> tuple[evacuations.EvacuationChange, ...]:
-    """Pick out what the operators ask of whole halls."""
+    """Return the changes of the operators' evacuations of data halls."""
     found = []
     for row in rows:
         hall = evacuation_keys.hall_of(row.key)
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -28,14 +28,14 @@
     from lineworks.forwarding import front_services, request_log
 
 START_WAIT_SECONDS = 0.08
-"""Seconds that a request is held while configuration or targets are not known: after a start they
-usually come within that time, and a refusal after it is still early."""
+"""Seconds for which a request is held while the configuration or the targets are not yet known.
+After a start they usually arrive within that time, and a refusal after it is still early."""
 
 REFUSAL_WEIGHT = 0.1
-"""Weight of one request in the share of those that found no target."""
+"""Weight of one request in the moving average of requests refused for lack of a target."""
 
 MOSTLY_REFUSING_SHARE = 0.5
-"""Share of requests without a target above which most are."""
+"""Share of requests refused for lack of a target above which the front is mostly refusing."""
 
 _Work = search.Search | single.SingleRequest
 
@@ -45,7 +45,7 @@
 
 
 class Front:
-    """Requests of callers at one instance."""
+    """Routes, starts and answers the requests that callers send to one instance."""
 
     def __init__(
         self,
@@ -53,44 +53,45 @@
         log: request_log.RequestLog,
         revocation: access.Revocation,
     ) -> None:
-        """Start without a configuration; every request is refused as not run.
+        """Create a front without a configuration; without one, requests are refused as not run.
 
         Args:
-            shared: What the requests share.
-            log: Takes note of every request.
-            revocation: What holds for keys that were taken away while this instance heard nothing.
+            shared: Services that the requests share.
+            log: Logs and counts every request.
+            revocation: Rules for keys that may have been revoked while this instance received no
+                updates.
         """
         self._shared = shared
         self._log = log
         self._revocation = revocation
-        # Requests whose quota is being asked for, each with what refuses it as not run.
+        # Requests waiting for quota, each with the function that refuses it as not run.
         self._awaiting_quota: dict[_Work, Callable[[], None]] = {}
         self._table: routes.RouteTable | None = None
         self._round_robin = routes.WeightedRoundRobin()
         self._under_way: set[_Work] = set()
         self._waiting: dict[Callable[[], None], Callable[[], None]] = {}
         self.is_complete: Callable[[], bool] = lambda: True
-        """Says whether configuration and targets are known."""
+        """Returns whether the configuration and the targets are known."""
         self.view_age: Callable[[], float] = lambda: 0.0
-        """Tells the age of what is known of the targets, in seconds."""
+        """Returns the age of the data about targets, in seconds."""
         self.is_outdated: Callable[[], bool] = lambda: False
-        """Says whether a peer is known to have a newer configuration."""
+        """Returns whether a peer is known to have a newer configuration."""
         self.on_uncertain_refusal: Callable[[], None] = lambda: None
-        """Called when a newer configuration could allow what is refused."""
+        """Called when a request is refused that a newer configuration might allow."""
         self.ends_at: Callable[[], float] = lambda: math.inf
-        """Tells when the process ends whatever is under way, in seconds."""
+        """Returns when a stopping process answers all requests in progress, in seconds."""
         self.is_over: Callable[[], bool] = lambda: False
-        """Says whether the process itself closes its connections now."""
+        """Returns whether the process itself is closing its connections."""
         self._refused_share = estimators.Average(REFUSAL_WEIGHT)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is under way or held."""
+        """Whether no request is in progress, held or waiting for quota."""
         return not self._under_way and not self._waiting and not self._awaiting_quota
 
     @property
     def is_mostly_refusing(self) -> bool:
-        """Whether most requests lately found no target."""
+        """Whether most recent requests were refused for lack of a target."""
         return self._refused_share.value > MOSTLY_REFUSING_SHARE
 
     @property
@@ -102,22 +103,22 @@
         """Put a configuration in force for requests that arrive from now on.
 
         Args:
-            table: The configuration.
+            table: The new configuration.
         """
         self._table = table
         self._shared.queue.is_fair = table.workspaces.is_used
         self._round_robin.forget_absent(table.routes)
 
     def resume_held(self) -> None:
-        """Start the requests that were held, because configuration and targets are known now."""
+        """Start the held requests: the configuration and the targets are known now."""
         for resume in list(self._waiting):
             resume()
 
     def end_all(self) -> int:
-        """Answer every request with what is known of it, because the process ends.
+        """Answer every request with what is known about it, because the process exits.
 
         Returns:
-            How many there were.
+            Number of requests.
         """
         count = len(self._under_way) + len(self._waiting) + len(self._awaiting_quota)
         for give_up in [*self._waiting.values(), *self._awaiting_quota.values()]:
@@ -127,7 +128,7 @@
         return count
 
     def limits(self) -> server_connection.Limits:
-        """Tell what callers may send."""
+        """Return the limits for callers' connections and requests."""
         if self._table is None:
             return server_connection.Limits()
         found = self._table.limits
@@ -144,11 +145,11 @@
 
         Args:
             request: The request.
-            answer: Takes the answer, once.
+            answer: Called once, with the answer.
 
         Returns:
-            A function that cancels the request when its caller has gone, or None when it was
-            answered at once.
+            A function that cancels the request when its caller has closed the connection, or None
+            if the request was answered immediately.
         """
         table = self._table
         if table is None or not self.is_complete():
@@ -179,7 +180,7 @@
         request: server_connection.Request,
         answer: Callable[[server_connection.Answer], None],
     ) -> Callable[[], None]:
-        """Hold a request for a moment while configuration and targets are on their way."""
+        """Hold a request briefly until the configuration and the targets are known."""
         cancel: Callable[[], None] | None = None
         is_over = False
 
@@ -285,10 +286,10 @@
         attempt: bytes,
         deadline: float,
     ) -> outcome.Outcome | None:
-        """Refuse a request for which nothing may be sent, or for which it is too late.
+        """Refuse a request that must not be sent to targets, or that can't finish in time.
 
         Returns:
-            The refusal; None where the request may go on.
+            The refusal; None if the request may proceed.
         """
         if judgement is suspects.Judgement.REFUSE:
             left = self._shared.suspects.note_refused(content, attempt.decode("latin-1"))
@@ -310,7 +311,7 @@
         care: caution.Caution,
         on_end: Callable[[outcome.Outcome], None],
     ) -> _Work:
-        """Prepare the search, or the request to one target, that a route asks for."""
+        """Create the search, or the request to one target, according to the route."""
         if not route.is_search:
             service = self._round_robin.choose(route)
             return single.SingleRequest(
@@ -331,10 +332,10 @@
         on_admission: Callable[[quota_keeper.Admission], None],
         on_caller_left: Callable[[], None],
     ) -> Callable[[], None]:
-        """Keep a request whose quota is being asked for.
+        """Track a request that waits for quota.
 
         Returns:
-            A function that cancels it, because its caller has gone.
+            A function that cancels the request when its caller has closed the connection.
         """
 
         def give_up() -> None:
@@ -351,10 +352,10 @@
         return stop
 
     def _has_time(self, route: routes.Route) -> bool:
-        """Say whether a request that comes now usually ends before the process does.
+        """Return whether a request that arrives now usually finishes before the process exits.
 
-        Without it a stopping process took requests until its very end and closed the connections
-        of those that it could not finish, among them unrepeatable ones that were running.
+        Without this check a stopping process accepted requests until it exited, and closed the
+        connections of those it could not finish, including non-idempotent ones that were running.
         """
         ends_at = self.ends_at()
         if math.isinf(ends_at):
@@ -375,7 +376,7 @@
         content: str,
         found: outcome.Outcome,
     ) -> None:
-        """Answer a request of a route, and note how it ended."""
+        """Answer a request that matched a route, and log its outcome."""
         self._log.on_end(
             request,
             attempt,
@@ -398,7 +399,7 @@
         self._under_way.discard(work)
         route, workspace = accessed.route, accessed.workspace
         if self.is_over():
-            # Callers did not leave: whoever looks for the cause must not be sent to them.
+            # The process closes the connection, so the log must not blame the caller.
             self._log.on_cut(request, attempt, route, work.known(), workspace)
         else:
             self._log.on_caller_gone(request, attempt, route, workspace)
@@ -422,9 +423,10 @@
 def _content_fingerprint(
     request: server_connection.Request, accessed: access.Access, has_keys: bool
 ) -> str:
-    """Make the fingerprint of what a request asks.
+    """Compute the fingerprint of a request's content.
 
-    Where requests carry keys it goes by the workspace, so that it outlives a change of its keys.
+    If requests carry keys, it includes the workspace instead of the caller, so that it stays the
+    same when the workspace's keys change.
     """
     if has_keys:
         caller = accessed.workspace.name.encode() if accessed.workspace is not None else b""
@@ -442,10 +444,10 @@
 def _request_head(
     request: server_connection.Request, accessed: access.Access, has_keys: bool
 ) -> bytes:
-    """Write the part of a request's head that all targets get.
+    """Encode the part of a request's head that is the same for all targets.
 
-    Where requests carry keys, none reaches a target, and whose request it is isn't for the caller
-    to say.
+    If requests carry keys, these are not forwarded, and a workspace header sent by the caller is
+    dropped.
     """
     dropped = _DROPPED_WITH_KEYS if has_keys else _DROPPED
     lines = [request.method + b" " + request.target + b" HTTP/1.1"]
--- a/src/lineworks/forwarding/front_services.py
+++ b/src/lineworks/forwarding/front_services.py
@@ -1,4 +1,4 @@
-"""What every request under way needs from its front."""
+"""Services and state that all requests of a front share."""
 
 from __future__ import annotations
 
@@ -24,37 +24,38 @@
     from lineworks.kernel import rate_limited_log
 
 HEDGE_LINES_PER_SECOND = 10.0
-"""Log lines a second for hedges."""
+"""Maximum number of log lines per second for hedges."""
 
 MAX_HEDGES_PER_LINE = 6
-"""Hedges that a line names at most."""
+"""Maximum number of hedges that one log line lists."""
 
 HEDGE_QUANTILE = 0.8
-"""Share of a route's sub-queries that are faster than the time after which one is hedged."""
+"""Quantile of a route's sub-query latencies from which the hedging delay is computed."""
 
 HEDGE_FACTOR = 1.3
-"""Multiple of that quantile: the rest of a usual spread is waited for."""
+"""Multiple of that quantile after which a sub-query is hedged, so that latencies within the usual
+spread do not cause hedges."""
 
 MIN_HEDGE_SHARE = 0.08
-"""Share of a route's aim before which nothing is hedged."""
+"""Minimum hedging delay, as a share of the route's SLO."""
 
 MAX_HEDGE_SHARE = 0.4
-"""Share of a route's aim after which everything is hedged; also used while nothing is known."""
+"""Maximum hedging delay, as a share of the route's SLO; also used until latencies are known."""
 
 
 class HedgeTimes:
-    """Learns, for each route and way, when a sub-query counts as late."""
+    """Computes hedging delays from the latencies of each route, separately for remote targets."""
 
     def __init__(self) -> None:
         self._latencies: dict[tuple[str, bool], estimators.Quantiles] = {}
 
     def record(self, route: str, is_remote: bool, seconds: float) -> None:
-        """Add the time of a sub-query that was answered.
+        """Record the latency of a sub-query that was answered.
 
         Args:
             route: Name of the route.
-            is_remote: Whether its target stands in another data hall.
-            seconds: How long it took.
+            is_remote: Whether its target is in another data hall.
+            seconds: The latency, in seconds.
         """
         found = self._latencies.get((route, is_remote))
         if found is None:
@@ -62,15 +63,15 @@
         found.record(seconds)
 
     def delay(self, route: str, is_remote: bool, slo: float) -> float:
-        """Tell after how long a sub-query is hedged.
+        """Compute after how long a sub-query is hedged.
 
         Args:
             route: Name of the route.
-            is_remote: Whether its target stands in another data hall.
-            aim: Time within which its answer is worth most, in seconds.
+            is_remote: Whether its target is in another data hall.
+            slo: The route's SLO (latency objective), in seconds.
 
         Returns:
-            Seconds.
+            The delay, in seconds.
         """
         found = self._latencies.get((route, is_remote))
         max_delay = MAX_HEDGE_SHARE * slo
@@ -82,33 +83,33 @@
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """Counts of a front, for metrics."""
+    """Event counts of a front, exported as metrics."""
 
     hedges: int = 0
-    """Second attempts at slow sub-queries."""
+    """Hedges sent: second attempts of slow sub-queries."""
 
     hedges_won: int = 0
-    """Of those, the ones that were answered first."""
+    """Hedges that were answered before the first attempt."""
 
     retries: int = 0
-    """Attempts after a failed one."""
+    """Attempts after a failed attempt."""
 
     budget_spent: int = 0
-    """Times that no extra attempt was left here when one was wanted."""
+    """How often an extra attempt was wanted but the local allowance was exhausted."""
 
     gather_queries: int = 0
-    """Queries sent to gatherers in other halls."""
+    """Queries sent to gatherers in other data halls."""
 
     parts_dropped: int = 0
-    """Merged results dropped because a shard of theirs was in already."""
+    """Merged results dropped because they contained a shard that was already included."""
 
     partial: int = 0
-    """Searches answered in part."""
+    """Searches answered with incomplete results."""
 
 
 @dataclasses.dataclass(slots=True)
 class FrontServices:
-    """Shared by all requests of a front."""
+    """The services of one instance that its front's requests use."""
 
     reactor: Any
     """Twisted's reactor."""
@@ -123,49 +124,49 @@
     """Sends requests to targets."""
 
     gatherers: gatherers.Gatherers
-    """Sends queries to gatherers in other halls."""
+    """Sends queries to gatherers in other data halls."""
 
     extra: extra_attempts.ExtraAttempts
-    """Attempts beyond the first that are left."""
+    """Local allowance of extra attempts: those beyond the first."""
 
     keeper: extra_keeper.ExtraKeeper
-    """Asks for more of them."""
+    """Requests further extra attempts when the local allowance is exhausted."""
 
     suspects: suspect_exchange.SuspectExchange
-    """Knows the requests under which targets ended."""
+    """Tracks the requests that are suspected of crashing targets."""
 
     quotas: quota_keeper.QuotaKeeper
-    """Tells whether requests are within the quotas of their workspaces."""
+    """Decides whether requests are within the quotas of their workspaces."""
 
     hedges: HedgeTimes
-    """When a sub-query counts as late."""
+    """Delays after which sub-queries are hedged."""
 
     counters: Counters
-    """Counts for metrics."""
+    """Event counts exported as metrics."""
 
     log: rate_limited_log.RateLimitedLog
-    """Takes a line for each hedge."""
+    """Rate-limited log of hedges."""
 
     queue: wait_queue.WaitQueue
-    """Requests that wait for room, and what each workspace got lately."""
+    """Requests waiting for capacity, and the recent usage of each workspace."""
 
     without: frozenset[mechanisms.Mechanism] = frozenset()
-    """Mechanisms that are switched off."""
+    """Mechanisms that are disabled."""
 
     lags: estimators.Quantiles = dataclasses.field(default_factory=estimators.Quantiles)
-    """How long after their latest moment answers of searches left."""
+    """Delays between the planned latest time of search answers and the time they were sent."""
 
     def try_spend(self, service: str, now: float, kept: float = 0.0, workspace: str = "") -> bool:
-        """Take one extra attempt at a service, or count that none was left.
+        """Spend one extra attempt at a service, or count that the allowance is exhausted.
 
         Args:
             service: The service.
-            now: The present, in seconds.
-            kept: Part of the allowance (0 to 1) that is left for others.
+            now: Current time, in seconds.
+            kept: Share of the allowance (0 to 1) that is reserved for others.
             workspace: Workspace of the request; empty for none.
 
         Returns:
-            Whether it may be sent.
+            Whether the attempt may be sent.
         """
         if self.spent_far_more(service, now, workspace):
             kept += extra_attempts.KEPT_FROM_HEDGES
@@ -177,29 +178,30 @@
         return True
 
     def spent_far_more(self, service: str, now: float, workspace: str) -> bool:
-        """Say whether a workspace leaves the last extra attempts at a service to others.
+        """Return whether a workspace must leave the last extra attempts at a service to others.
 
         Args:
             service: The service.
-            now: The present, in seconds.
+            now: Current time, in seconds.
             workspace: The workspace; empty for none.
 
         Returns:
-            Whether room is shared between workspaces, and it spent far more than its part.
+            Whether capacity is shared between workspaces, and this one spent far more than its
+            fair share of extra attempts.
         """
         queue = self.queue
         return queue.is_fair and queue.shares.spent_far_more(workspace, service, now)
 
     def ask_for_retry(self, service: str, workspace: str, on_reply: Callable[[], None]) -> None:
-        """Ask the keeper for an extra attempt at a service, because none is left here.
+        """Request an extra attempt at a service from the keeper; the local allowance is exhausted.
 
-        Like a hedge, a retry of a workspace that spent far more than its part leaves the last ones
-        to others.
+        Like a hedge, a retry of a workspace that spent far more than its fair share leaves the
+        last extra attempts to others.
 
         Args:
             service: The service.
             workspace: Workspace of the request; empty for none.
-            on_reply: Called once, when the keeper has answered or doesn't.
+            on_reply: Called once, when the keeper has answered or has failed to.
         """
         leaves_last = self.spent_far_more(service, self.reactor.seconds(), workspace)
         self.keeper.ask((service,), leaves_last, on_reply)
@@ -210,12 +212,12 @@
         seconds: float,
         pairs: Sequence[tuple[target_state.TargetState, target_state.TargetState]],
     ) -> None:
-        """Write a line for hedges that are about to be sent.
+        """Log hedges that are about to be sent.
 
         Args:
             call: The request.
-            seconds: Time since it came.
-            pairs: For each hedge the target that is waited for, and the one that is asked too.
+            seconds: Time since the request arrived.
+            pairs: For each hedge, the target that is slow and the target of the hedge.
         """
         named = [
             f"{late.replica.target.service}: {late.id}, now {other.id}"
@@ -230,13 +232,13 @@
         )
 
     def record_answer(self, route: str, is_remote: bool, started: float, is_hedge: bool) -> None:
-        """Learn from an attempt that brought what was wanted.
+        """Record a successful attempt: its latency, or that a hedge won.
 
         Args:
             route: Name of the route.
-            is_remote: Whether its target stands in another data hall, or a gatherer asked it.
-            started: When it was sent, in seconds.
-            is_hedge: Whether it was made beside a slow one.
+            is_remote: Whether its target is in another data hall, or was queried by a gatherer.
+            started: When the attempt was sent, in seconds.
+            is_hedge: Whether the attempt is a hedge.
         """
         if is_hedge:
             self.counters.hedges_won += 1
--- a/src/lineworks/forwarding/metrics.py
+++ b/src/lineworks/forwarding/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of one instance, with labels of bounded number.
+"""Metrics of one instance, with bounded label cardinality.
 
-Requests are counted in plain numbers here. The Prometheus library writes them out; it is imported
-when the metrics are first asked for, because it takes a tenth of the time that a process needs to
-start, and some instances are never asked.
+Requests are counted in plain numbers here. The Prometheus client library formats them; it is
+imported on the first export, because the import takes a tenth of the start-up time of a process and
+some instances are never scraped.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
     from lineworks.forwarding import outcome
 
 MAX_ROUTES = 50
-"""Routes that get a label of their own; later ones are counted as `other`."""
+"""Maximum number of routes with their own label; further ones are counted as `other`."""
 
 MAX_WORKSPACES = 100
-"""Workspaces that get a label of their own; later ones are counted as `other`."""
+"""Maximum number of workspaces with their own label; further ones are counted as `other`."""
 
 _OTHER = "other"
 
 BUCKETS = (0.01, 0.025, 0.05, 0.084, 0.111, 0.132, 0.2, 0.233, 0.4, 0.7, 1.0, 2.0, 6.0)
-"""Upper bounds of the histogram's buckets in seconds: the aims and deadlines of the users' sheets,
-and round figures between them."""
+"""Upper bounds of the histogram's buckets, in seconds: the SLOs and deadlines that the users
+require, and round values between them."""
 
 
 class _LatencyHistogram:
-    """How long the requests of one route, or of one workspace, took."""
+    """Latency histogram of one route or workspace."""
 
     __slots__ = ("buckets", "total")
 
@@ -40,12 +40,12 @@
         self.total = 0.0
 
     def record(self, seconds: float) -> None:
-        """Count one request."""
+        """Add one request."""
         self.buckets[bisect.bisect_left(BUCKETS, seconds)] += 1
         self.total += seconds
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Tell, for each upper bound, how many requests took no longer."""
+        """Return the cumulative buckets: for each upper bound, the requests that took no longer."""
         bounds = [*(str(bound) for bound in BUCKETS), "+Inf"]
         rows = []
         count = 0
@@ -56,7 +56,7 @@
 
 
 class RequestMetrics:
-    """Counts and times of requests by route."""
+    """Request counts and latencies by route and by workspace."""
 
     def __init__(self) -> None:
         self._routes: set[str] = set()
@@ -76,12 +76,12 @@
         seconds: float,
         workspace: str | None = None,
     ) -> None:
-        """Count a request.
+        """Count a request that was answered.
 
         Args:
-            route: Its route, if one was found.
-            found: How it ended.
-            seconds: How long it took.
+            route: Its route; None if none matched.
+            found: Its outcome.
+            seconds: Its latency.
             workspace: Name of its workspace, if it has one.
         """
         status, reason = str(found.answer.status), found.verdict.reason.value
@@ -104,7 +104,7 @@
             _record(self._workspace_latencies, label, seconds)
 
     def on_caller_gone(self, route: routes.Route, workspace: str | None = None) -> None:
-        """Count a request whose caller left.
+        """Count a request whose caller closed the connection.
 
         Args:
             route: Its route.
@@ -115,7 +115,7 @@
         self._outcomes[(self._label(route), "0", "cancelled")] += 1
 
     def on_cut(self, route: routes.Route, workspace: str | None = None) -> None:
-        """Count a request that the end of this process cut.
+        """Count a request that was aborted because this process exited.
 
         Args:
             route: Its route.
@@ -126,15 +126,15 @@
         self._outcomes[(self._label(route), "0", "cut")] += 1
 
     def collect_from(self, read: Callable[[], Mapping[str, Mapping[str, float]]]) -> None:
-        """Export counts that others keep.
+        """Add a source of gauges that are kept elsewhere.
 
         Args:
-            read: Tells, for each metric, values by kind.
+            read: Returns, for each metric, its values by kind.
         """
         self._gauge_sources.append(read)
 
     def export(self) -> bytes:
-        """Write all metrics in Prometheus's text form."""
+        """Return all metrics in the Prometheus text format."""
         import prometheus_client
 
         registry = prometheus_client.CollectorRegistry()
@@ -143,7 +143,7 @@
         return text
 
     def collect(self) -> Iterable[Any]:
-        """Tell all metrics to the Prometheus library."""
+        """Yield all metric families, for the Prometheus client library."""
         from prometheus_client import core
 
         yield _histogram_family(
@@ -189,7 +189,7 @@
         )
 
     def describe(self) -> Iterable[Any]:
-        """Tell the Prometheus library nothing beforehand, so that it asks only on export."""
+        """Describe no metrics, so that the Prometheus client library collects only on export."""
         return ()
 
     def _label(self, route: routes.Route | None) -> str:
@@ -199,12 +199,12 @@
 
 
 def _bounded_label(known: set[str], name: str, limit: int) -> str:
-    """Choose the label of a name: the first names keep their own, later ones share one.
+    """Return the label of a name: the first `limit` names get their own, later ones share one.
 
     Args:
-        known: Names with a label of their own, to which this one is added while there is room.
+        known: Names with their own label; this one is added unless the limit is reached.
         name: The name.
-        most: Names that get a label of their own.
+        limit: Maximum number of names with their own label.
     """
     if name not in known:
         if len(known) >= limit:
@@ -214,7 +214,7 @@
 
 
 def _record(found: dict[str, _LatencyHistogram], label: str, seconds: float) -> None:
-    """Count a request's time under a label."""
+    """Record a request's latency under a label."""
     times = found.get(label)
     if times is None:
         times = found[label] = _LatencyHistogram()
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -1,4 +1,4 @@
-"""Puts the services of one process on the users' machines together."""
+"""Assembles the services of one process that runs on the users' machines."""
 
 from __future__ import annotations
 
@@ -58,20 +58,20 @@
     from lineworks.kernel import early_acceptor
 
 HEARTBEAT_SECONDS = 2.0
-"""Seconds between heartbeats on a link: a silent link counts as lost after twice that."""
+"""Seconds between heartbeats on a link; a link without traffic counts as lost after twice that."""
 
 STALE_VIEW_SECONDS = 3.0
-"""Age of the targets' view after which an instance that refuses most requests for lack of targets
-counts as not ready: it is cut off, and others may know better."""
+"""Age of the data about targets, in seconds, after which an instance that refuses most requests for
+lack of targets counts as not ready: it is cut off, and others may have newer data."""
 
 MAX_TARGETS_PER_LINE = 8
-"""Targets that a log line names at most."""
+"""Maximum number of targets that one log line lists."""
 
 _log = structlog.get_logger(component="node")
 
 
 class Node:
-    """One process: front and gatherer."""
+    """One instance: a process with a front and a gatherer."""
 
     def __init__(
         self,
@@ -80,13 +80,14 @@
         callers_port: early_acceptor.EarlyAcceptor | None = None,
         rng: random.Random | None = None,
     ) -> None:
-        """Make the process's services.
+        """Create the services of the process.
 
         Args:
             reactor: Twisted's reactor, on the steady clock.
             settings: Settings of the process.
-            callers_port: Port that callers connect to already; opened at the start if not given.
-            rng: Source of all random choices; one with a seed of its own if not given.
+            callers_port: Port that already accepts callers' connections; opened by `start` if not
+                given.
+            rng: Source of all random choices; by default one with a random seed.
         """
         self._reactor = reactor
         self._settings = settings
@@ -192,7 +193,7 @@
         self._loop_delay = loop_delay.LoopDelay(reactor)
         self._started_at = reactor.seconds()
         self.lines_dropped: Callable[[], int] = lambda: 0
-        """Tells how many log lines a slow reader made the process drop."""
+        """Returns how many log lines were dropped because their reader was too slow."""
         self._callers = server_connection.Server(
             reactor,
             self._front.limits,
@@ -214,7 +215,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer should send new connections."""
+        """Whether the load balancer should send new connections."""
         if self._stop.is_begun or not self._directory.is_complete:
             return False
         is_stale = self._directory.age > STALE_VIEW_SECONDS
@@ -222,11 +223,11 @@
 
     @property
     def directory(self) -> directory.Directory:
-        """What it knows of the configuration and the targets."""
+        """Its copy of the configuration and the targets."""
         return self._directory
 
     def _is_closing(self) -> bool:
-        """Say whether callers should open their next connection elsewhere."""
+        """Return whether callers should open their next connection to another instance."""
         return self._stop.is_begun or (self._directory.is_complete and not self.is_ready)
 
     async def start(self) -> None:
@@ -250,10 +251,10 @@
         _log.info("started", name=settings.name, hall=settings.hall, without=without)
 
     def stop(self, asked_at: float | None = None) -> None:
-        """Begin a planned stop: no new connections, then the end when all work is done.
+        """Begin a planned stop: the process exits when deregistered and all work is done.
 
         Args:
-            asked_at: When the signal came, in seconds; now when not given.
+            asked_at: When the signal was received, in seconds; now if not given.
         """
         if self._stop.is_begun:
             return
@@ -261,7 +262,7 @@
         self._links.broadcast(self._heartbeat())
 
     def _connect_services(self) -> None:
-        """Tie the services together."""
+        """Connect the services' callbacks, and register the services to be started."""
         self._front.is_complete = lambda: self._directory.is_complete
         self._front.view_age = lambda: self._directory.age
         self._front.is_outdated = lambda: self._directory.is_outdated
@@ -337,14 +338,14 @@
         self._links.broadcast(self._heartbeat())
 
     def _on_store_return(self) -> None:
-        """Have everything written again that the store may lack since it came back."""
+        """Rewrite everything that the store may lack since it was restored from an older copy."""
         self._directory.on_store_return()
         self._registration.on_store_return()
         self._suspects.on_store_return()
         self._links.broadcast(self._heartbeat())
 
     def _warn_about_unknown_homes(self, table: routes.RouteTable) -> None:
-        """Say which routes and workspaces name home regions that the deployment does not have."""
+        """Log the routes and workspaces whose home regions do not exist in the deployment."""
         known = set(self._settings.regions.values())
         for route in table.routes:
             unknown = sorted(route.homes - known)
@@ -385,7 +386,7 @@
         self._resume_held_requests()
 
     def _update_evacuated(self, halls: frozenset[str]) -> None:
-        """Say which halls get no new work from now on, and which do again."""
+        """Record the evacuated halls, and log which were added and removed."""
         age = round(self._directory.age, 3)
         for hall in sorted(halls - self._evacuated):
             is_known = hall in self._settings.regions
@@ -425,7 +426,7 @@
 
     @property
     def _instance_count(self) -> int:
-        """Instances that are linked or listed, this one included; 0 while none is."""
+        """Number of instances linked or listed, including this one; 0 if there are none."""
         linked = len(self._links.up) + 1 if self._links.up else 0
         return max(linked, self._registration.listed_count)
 
@@ -485,7 +486,7 @@
         }
 
     def _quota_refusals(self) -> dict[str, float]:
-        """Count refusals by workspace, for all reasons together."""
+        """Return the number of quota refusals by workspace, for all reasons together."""
         found: dict[str, float] = {}
         for (workspace, _), count in self._quotas.refusals.items():
             found[workspace] = found.get(workspace, 0.0) + count
@@ -493,11 +494,11 @@
 
 
 def _link_secret(settings: node_settings.NodeSettings) -> bytes:
-    """Derive what the links of one deployment share.
+    """Derive the shared secret of the links of one deployment.
 
-    The platform gives no secret; this keeps the instances of two deployments apart, no more. The
-    store's port is left out: instances that reached it through forwarders of their own, each with
-    another port, refused all links to each other.
+    The platform provides no secret, so this only keeps the instances of different deployments
+    apart. The store's port is left out: instances that connected to the store through separate
+    forwarders, each on a different port, refused all links to each other.
     """
     text = f"{settings.store.host}|{sorted(settings.regions.items())}"
     return hashlib.sha256(text.encode()).digest()
--- a/src/lineworks/forwarding/planned_stop.py
+++ b/src/lineworks/forwarding/planned_stop.py
@@ -1,7 +1,8 @@
-"""The planned stop of one process: from the signal to its end, every request gets an answer.
+"""Planned stop of one process: every request is answered between the signal and the exit.
 
-New work is taken until the balancer has let go. What is still under way when the time is up is
-answered with what is known of it: its caller can ask again, or knows that it may have run.
+New requests are accepted until the load balancer has deregistered the instance. Requests still in
+progress when the time is up are answered with what is known about them: either the caller can
+retry, or it learns that the request may have run.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
     from lineworks.http1 import server_connection
 
 POLL_SECONDS = 0.05
-"""Seconds between looks for requests under way while the process stops."""
+"""Seconds between checks for requests in progress during a stop."""
 
 _log = structlog.get_logger(component="node")
 
 
 class PlannedStop:
-    """The stop of one process; it has not begun at first."""
+    """Planned stop of one process."""
 
     def __init__(
         self,
@@ -38,16 +39,16 @@
         queries: gathering.Gatherer,
         stop_listening: Callable[[], None],
     ) -> None:
-        """Prepare the stop.
+        """Prepare the stop, without beginning it.
 
         Args:
             reactor: Twisted's reactor; it is stopped at the end.
             name: Name of the instance.
-            grace: Seconds after the signal at which the platform ends the process.
-            callers: Connections of callers.
-            requests: Their requests.
-            queries: What other instances asked this one to gather.
-            stop_listening: Accepts the connections that wait, and closes the callers' port.
+            grace: Seconds after the signal at which the platform kills the process.
+            callers: Server with the callers' connections.
+            requests: Front with the callers' requests.
+            queries: Gatherer with the queries of other instances.
+            stop_listening: Accepts the connections in the backlog, and closes the callers' port.
         """
         self._reactor = reactor
         self._name = name
@@ -60,30 +61,31 @@
         self._times: stop_times.StopTimes | None = None
         self._answered: int | None = None
         self.is_over = False
-        """Whether the process closes its connections now."""
+        """Whether the process is closing its connections and exits."""
 
     @property
     def is_begun(self) -> bool:
-        """Whether the process stops."""
+        """Whether the stop has begun."""
         return self._times is not None
 
     @property
     def answer_by(self) -> float:
-        """When whatever is under way is answered, in seconds; infinite before the stop."""
+        """When requests in progress are answered at the latest, in seconds; infinite before the
+        stop."""
         return math.inf if self._times is None else self._times.answer_by
 
     def begin(self, asked_at: float) -> None:
-        """Stop the process: it ends when all work is done, or when the time is up.
+        """Begin the stop: the process exits when all work is done, or when the time is up.
 
         Args:
-            asked_at: When the signal came, in seconds.
+            asked_at: When the signal was received, in seconds.
         """
         self._times = stop_times.plan(asked_at, self._grace)
         _log.info("stopping", name=self._name)
         self._poll(self._times)
 
     def _poll(self, times: stop_times.StopTimes) -> None:
-        """Do what is due, and end when the balancer has let go and no request is under way."""
+        """Take the steps that are due; exit once deregistered and without requests in progress."""
         now = self._reactor.seconds()
         if now >= times.deregistered_by:
             self._close_idle(stop_times.MIN_IDLE_SECONDS)
@@ -101,23 +103,24 @@
         is_deregistered = now >= times.deregistered_by and not self._callers.connections
         if is_deregistered and self._is_idle:
             return True
-        # A process that stood still until then must answer first; one turn lets answers leave.
+        # A process that was suspended until then must answer first; answers are sent within one
+        # reactor iteration.
         return now >= times.end_by and self._answered is not None
 
     def _close_idle(self, min_idle: float) -> None:
-        """Close connections without a request, but not while their first one may be on its way.
+        """Close connections without a request, unless their first request may be in transit.
 
-        Without that, 289 callers in 60 stops were closed out within milliseconds of their dial, and
-        could not know that nothing had run.
+        Without that exception, 289 connections in 60 stops were closed within milliseconds of
+        being opened, and their callers could not know that nothing had run.
         """
         for connection in list(self._callers.connections):
             connection.close_if_idle(min_idle)
 
     def _close_port(self) -> None:
-        """Take no new connections, but serve those that had connected by then.
+        """Stop accepting connections, but serve those that were established before.
 
-        Whoever comes later is refused by the system and knows that nothing ran; a connection that
-        came with the end of the process was closed unanswered.
+        Later callers are refused by the operating system and know that nothing ran. With the port
+        open, connections opened as the process exited were closed without an answer.
         """
         if not self._is_port_closed:
             self._is_port_closed = True
@@ -128,10 +131,10 @@
         return self._requests.is_idle and self._queries.is_idle
 
     def _answer_all(self) -> None:
-        """Answer what is under way, because the process ends before it could be finished.
+        """Answer the requests in progress, because the process exits before they can finish.
 
-        Without it such requests were cut: 203 of them in 60 stops under callers that go on until
-        the process is gone, while targets turned slow (count of tries without an answer).
+        Without this, their connections were closed unanswered: 203 attempts in 60 stops, with
+        callers that kept sending until the process was gone while targets became slow.
         """
         for connection in list(self._callers.connections):
             connection.shut_down()
--- a/src/lineworks/forwarding/registration.py
+++ b/src/lineworks/forwarding/registration.py
@@ -1,10 +1,10 @@
-"""Tells the other instances where this one is, through the platform's store.
+"""Registers this instance in the platform's store, so that the other instances can connect to it.
 
-Every instance keeps one key under a lease and dials all that are listed. The first list comes with
-what the directory reads from the store anyway; one more is read after the own key is written, so
-that of two instances which start together at least one finds the other.
-The key only helps to find each other: whether an instance is alive is shown by its links, so a key
-that is late, gone or wrong decides nothing.
+Every instance keeps one key under a lease and connects to all listed instances. The first list is
+part of what the directory reads from the store anyway. The list is read again after the instance
+has written its own key, so that of two instances which start together at least one finds the other.
+The keys serve for discovery only: the links show whether an instance is alive, so a key that is
+late, missing or wrong has no further effect.
 """
 
 from __future__ import annotations
@@ -28,34 +28,35 @@
 """Prefix of the keys; what follows is the instance's name."""
 
 LEASE_SECONDS = 120.0
-"""Seconds after which the key of a dead instance goes; others dial it in vain until then."""
+"""Time to live of a key, in seconds; until it expires, others try to connect to a dead instance."""
 
 RENEW_SECONDS = 45.0
-"""Seconds between renewals: one may fail before the lease ends. Each call has a price."""
+"""Mean seconds between renewals: one may fail before the lease expires. Calls to the store are
+costly, so there are no more than that."""
 
 RETRY_SECONDS = 1.0
-"""Seconds between tries while the store fails."""
+"""Minimum seconds between attempts while the store fails; up to twice that at random."""
 
 REWRITES_PER_SECOND = 100.0
-"""Instances that write their keys again each second after the store's return from an older copy:
-two writes each, half of what the store takes."""
+"""Instances that rewrite their keys per second after the store was restored from an older copy:
+with two writes each, this is half of what the store can handle."""
 
 MIN_REWRITE_SPREAD_SECONDS = 0.5
-"""Seconds over which few instances spread that."""
+"""Minimum seconds over which the instances spread these rewrites, when there are few of them."""
 
 RECENT_START_SECONDS = 30.0
-"""Seconds after the start in which the list is read again with that: the one that was read may have
-lacked instances that started at the same time, and their keys may have been lost."""
+"""Seconds after the start in which a rewrite also reads the list again: the list read before may
+have lacked instances that started at the same time, and their keys may have been lost."""
 
 RELIST_DELAY_SECONDS = 0.8
-"""Seconds after the registration at which the list is read: instances that start together have
-registered by then."""
+"""Seconds after the registration at which the list is read: by then, instances that started at the
+same time have registered."""
 
 _log = structlog.get_logger(component="registration")
 
 
 class Registration:
-    """The key of this instance."""
+    """Keeps the key of this instance, and the list of the other instances."""
 
     def __init__(
         self,
@@ -65,14 +66,14 @@
         links: peer_links.PeerLinks,
         jitter: Callable[[], float],
     ) -> None:
-        """Make a registration; nothing is written yet.
+        """Create a registration; nothing is written yet.
 
         Args:
             reactor: Twisted's reactor.
             settings: Settings of this instance.
             client: The platform's store.
-            links: Dials the instances that are listed.
-            jitter: Draws a number between 0 and 1 that spreads calls.
+            links: Connects to the listed instances.
+            jitter: Returns a random number between 0 and 1, used to spread calls.
         """
         self._reactor = reactor
         self._settings = settings
@@ -82,40 +83,41 @@
         self._pending_rewrite: Any = None
         self._started_at = reactor.seconds()
         self.on_listed: Callable[[], None] = lambda: None
-        """Called when the instances that are listed have changed."""
+        """Called when the listed instances have changed."""
         self._members: dict[str, member.Member] = {}
         self._task = task.Task("registration", self._run)
 
     @property
     def listed_count(self) -> int:
-        """Instances listed, this one included once its key is; 0 while no list was read."""
+        """Number of listed instances, including this one once its key is; 0 before the first list
+        is read."""
         return len(self._members)
 
     @property
     def names(self) -> Collection[str]:
-        """Names of the instances that are listed."""
+        """Names of the listed instances."""
         return self._members.keys()
 
     @property
     def members(self) -> Collection[member.Member]:
-        """The instances that are listed."""
+        """The listed instances."""
         return self._members.values()
 
     def start(self) -> None:
-        """Begin to register."""
+        """Start registering."""
         self._started_at = self._reactor.seconds()
         self._task.start()
 
     def stop(self) -> None:
-        """Stop renewing; the key goes with its lease."""
+        """Stop renewing the lease; the key expires with it."""
         self._task.stop()
         if self._pending_rewrite is not None and self._pending_rewrite.active():
             self._pending_rewrite.cancel()
 
     def on_store_return(self) -> None:
-        """Write the key again soon: the store came back from a copy that may lack it.
+        """Schedule a rewrite of the key: the store was restored from a copy that may lack it.
 
-        The lease is gone for certain, and instances that start lean on the key.
+        The lease is lost in any case, and instances that start depend on the key.
         """
         if self._pending_rewrite is not None and self._pending_rewrite.active():
             return
@@ -146,7 +148,7 @@
         return lease
 
     async def _relist(self) -> None:
-        """Read the list once those that started at the same time have written their keys."""
+        """Read the list once instances that started at the same time have written their keys."""
         await task.sleep(self._reactor, RELIST_DELAY_SECONDS)
         listing = await self._store.list_items(PREFIX)
         self.on_changes(
@@ -154,10 +156,10 @@
         )
 
     def on_changes(self, changes: Iterable[store_items.Change]) -> None:
-        """Take in keys of instances that were written or removed.
+        """Apply changes of the keys of instances.
 
         Args:
-            changes: The changes; those of other keys are passed over.
+            changes: The changes; those of other keys are ignored.
         """
         is_changed = False
         for change in changes:
@@ -169,7 +171,7 @@
                 self._members[name] = listed
                 is_changed = True
             elif name not in self._links.up:
-                # An instance with a link stays wanted even if its key is gone.
+                # Links to connected instances are kept even if their keys are gone.
                 is_changed |= self._members.pop(name, None) is not None
         if is_changed:
             self._links.set_wanted(self._members)
--- a/src/lineworks/forwarding/wait_queue.py
+++ b/src/lineworks/forwarding/wait_queue.py
@@ -1,8 +1,9 @@
-"""Those that wait for room, at a front or at a gatherer, tried in the order of fair shares.
+"""Queue of requests that wait for capacity, at a front or at a gatherer, served by fair shares.
 
-Where the configuration has no workspaces everybody looks for room by itself, whenever its own pause
-is over. Otherwise there is one look for all, in the order that `lineworks.decisions.fair_shares`
-gives, and whoever comes while others wait for the same services takes its place among them.
+If the configuration has no workspaces, each request retries on its own when its own pause has
+passed. Otherwise one timer retries all waiting requests in the order computed by
+`lineworks.decisions.fair_shares`, and a request that arrives while others wait for the same
+services joins the queue behind those that go before it.
 """
 
 from __future__ import annotations
@@ -18,30 +19,31 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Waiter:
-    """One that waits."""
+    """A request in the queue."""
 
     claim: fair_shares.Claim
-    """What decides about its place."""
+    """Determines its position in the queue."""
 
     services: frozenset[str]
-    """Services at which it wants room."""
+    """Services at which it needs capacity."""
 
     retry: Callable[[], None]
-    """Looks for room."""
+    """Tries to start the request; it waits again if there is still no capacity."""
 
 
 class WaitQueue:
-    """Those that wait at one front, or at one gatherer."""
+    """Requests waiting for capacity at one front, or at one gatherer."""
 
     def __init__(
         self, reactor: Any, retry_seconds: float, draw: Callable[[], float] = lambda: 0.5
     ) -> None:
-        """Start with nobody waiting, and no order.
+        """Create an empty queue, without fair sharing.
 
         Args:
             reactor: Twisted's reactor.
-            look_seconds: Seconds between looks for room.
-            draw: Draws from 0 to 1, to spread the return of callers that are refused.
+            retry_seconds: Seconds between retries.
+            draw: Returns a random number from 0 to 1, used to spread the retries of refused
+                callers.
         """
         self._reactor = reactor
         self._retry_seconds = retry_seconds
@@ -49,17 +51,17 @@
         self._waiters: list[_Waiter] = []
         self._timer: Any = None
         self.is_fair = False
-        """Whether the configuration has workspaces, between which room is shared."""
+        """Whether the configuration has workspaces, between which capacity is shared."""
         self.shares = fair_shares.Shares()
-        """What each workspace asked, got and spent lately."""
+        """Recent requests, served requests and extra attempts of each workspace."""
 
     @property
     def length(self) -> int:
-        """How many wait."""
+        """Number of waiting requests."""
         return len(self._waiters)
 
     def note_served(self, workspace: str) -> None:
-        """Count a request that found room.
+        """Count a request for which there was capacity.
 
         Args:
             workspace: Its workspace; empty for none.
@@ -68,7 +70,7 @@
             self.shares.note_served(workspace, self._reactor.seconds())
 
     def note_refused(self, workspace: str) -> None:
-        """Count a request that found no room.
+        """Count a request that was refused for lack of capacity.
 
         Args:
             workspace: Its workspace; empty for none.
@@ -77,26 +79,27 @@
             self.shares.note_refused(workspace, self._reactor.seconds())
 
     def is_too_late(self, claim: fair_shares.Claim, now: float) -> bool:
-        """Say whether waiting is of no use any more.
+        """Return whether it is pointless to wait any longer.
 
         Args:
-            claim: What decides about the place.
-            now: The present, in seconds.
+            claim: Claim of the request.
+            now: Current time, in seconds.
 
         Returns:
-            Whether there is an order, and the request can't be in time even if it is sent now.
+            Whether fair sharing is on, and the request would usually be late even if it were sent
+            now.
         """
         return self.is_fair and not claim.can_be_in_time(now)
 
     def has_waiter_ahead(self, claim: fair_shares.Claim, services: Collection[str]) -> bool:
-        """Say whether a newcomer would pass one that goes before it.
+        """Return whether a new request would overtake a waiting request that goes before it.
 
         Args:
-            claim: Its claim.
-            services: Services that it wants room at.
+            claim: Claim of the new request.
+            services: Services at which it needs capacity.
 
         Returns:
-            Whether one that waits for any of the same services goes before it.
+            Whether a request that waits for any of the same services goes before it.
         """
         if not self._waiters:
             return False
@@ -110,15 +113,16 @@
     def wait(
         self, claim: fair_shares.Claim, services: Collection[str], retry: Callable[[], None]
     ) -> Callable[[], None]:
-        """Take a place until the next look.
+        """Join the queue until the next retry.
 
         Args:
-            claim: What decides about the place.
-            services: Services at which room is wanted.
-            look: Called at the next look, in its turn. Whoever finds no room waits again.
+            claim: Determines the position in the queue.
+            services: Services at which capacity is needed.
+            retry: Called once, at the next retry, in queue order. A request for which there is
+                still no capacity has to wait again.
 
         Returns:
-            A function that leaves the line.
+            A function that leaves the queue.
         """
         waiter = _Waiter(claim, frozenset(services), retry)
         self._waiters.append(waiter)
@@ -132,25 +136,25 @@
         return leave
 
     def retry_after(self, pause: float) -> float | None:
-        """Tell after how long a caller that found no room may come again.
+        """Compute when a caller that was refused for lack of capacity may retry.
 
         Args:
-            pause: Seconds that are told where there is no order.
+            pause: Mean pause, in seconds.
 
         Returns:
-            Seconds, spread so that those refused together don't come back together; None where
-            there is no order, and what is usual holds.
+            Seconds, spread at random so that callers refused together don't retry together; None
+            without fair sharing, where the usual pause applies.
         """
         return fair_shares.spread_pause(pause, self._draw()) if self.is_fair else None
 
     def _retry_all(self) -> None:
-        """Let all that wait look for room, in the order of fair shares."""
+        """Retry all waiting requests, in the order of fair shares."""
         self._timer = None
         waiting, self._waiters = self._waiters, []
         now = self._reactor.seconds()
         claims = [waiter.claim for waiter in waiting]
         ordered = [waiting[number] for number in self.shares.order(claims, now)]
-        # Whoever leaves while others are tried must not be tried any more.
+        # A request that leaves the queue while others are retried must not be retried.
         self._waiters = ordered
         for waiter in list(ordered):
             if waiter in self._waiters:
