--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Whole deployments on a virtual clock: the promises to callers under the platform's faults."""
+"""Whole deployments on a virtual clock: guarantees to callers while targets and instances fail."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def check_search(world, reply, attempt, top=20):
-    """Hold an answer against what the targets would have said."""
+    """Check an answer against the records of its targets; return how many shards are missing."""
     assert reply.status == 200
     stamps = [part.strip() for part in reply.headers["x-part-stamps"].split(",")]
     services = [stamp.split(".")[0] for stamp in stamps]
@@ -61,7 +61,7 @@
     return missing
 
 
-def test_a_search_covers_every_shard_once_with_the_greatest_records():
+def test_a_search_covers_every_shard_once_and_returns_the_top_records():
     world = build()
     for name in world.nodes:
         reply = world.ask(name, "/search/q", attempt=f"q-{name}")
@@ -71,7 +71,7 @@
         assert len(world.runs_of(f"q-{name}")) == len(SHARDS)
 
 
-def test_shards_of_other_halls_come_in_one_merged_frame():
+def test_shards_of_other_halls_are_merged_by_one_gatherer():
     world = build()
     front = world.nodes["akl-1"]
     before = front._counters.gather_queries
@@ -80,7 +80,7 @@
     assert front._counters.gather_queries == before + 1
 
 
-def test_a_paused_target_is_hedged_in_time():
+def test_a_slow_target_is_hedged_within_the_slo():
     world = build()
     slow = next(t for t in targets_of(world, SHARDS[0]) if t.hall == "wlg")
     slow.work = lambda: 5.0
@@ -91,7 +91,7 @@
     assert slow.cancelled == 1
 
 
-def test_a_shard_without_answers_is_left_out_before_the_aim():
+def test_a_shard_without_answers_is_left_out_within_the_slo():
     world = build()
     for target in targets_of(world, SHARDS[3]):
         target.work = lambda: 5.0
@@ -101,7 +101,7 @@
     assert reply.seconds < 0.2
 
 
-def test_too_few_shards_are_no_success_and_answered_at_the_deadline():
+def test_too_few_shards_are_answered_as_a_failure_by_the_deadline():
     world = build()
     for shard in SHARDS[:4]:
         for target in targets_of(world, shard):
@@ -126,9 +126,9 @@
     assert world.runs_of("q1") == []
 
 
-def test_a_lost_gatherer_is_covered_within_the_aim():
+def test_the_loss_of_a_gatherer_is_compensated_within_the_slo():
     world = build()
-    # Earlier requests, from which extra attempts are allowed.
+    # Earlier requests earn an allowance of extra attempts.
     for _ in range(50):
         world.ask("akl-1", "/search/q")
         world.run(0.1)
@@ -144,7 +144,7 @@
         assert reply.seconds < 0.2
 
 
-def test_a_hall_without_instances_is_reached_directly():
+def test_targets_of_a_hall_without_instances_are_queried_directly():
     world = build()
     for name in ("wlg-1", "wlg-2", "chc-1", "chc-2"):
         world.host_of(name).kill()
@@ -154,8 +154,8 @@
     assert check_search(world, reply, "q1") == 0
 
 
-def test_surplus_answers_without_identity_never_count():
-    # Found by a hunt: a second answer in the place of the next one due was taken for it.
+def test_a_surplus_answer_of_another_target_is_never_used():
+    # A surplus answer on a connection must not be taken for the answer to the next request.
     world = build()
     wrong = "X-Response-Stamp: s03.other.i-0\r\nContent-Length: 16\r\n\r\n" + "z" * 16
     for target in targets_of(world, SHARDS[3]):
@@ -167,9 +167,9 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_answers_are_exact_while_hedges_and_late_parts_race(seed):
-    # Found by a hunt and on a calm day: records were left out against a floor that came from a
-    # part which the answer did not use in the end.
+def test_answers_are_exact_while_hedges_race_with_late_parts(seed):
+    # Guards against records being dropped below a floor that came from a part which the answer did
+    # not include in the end.
     rng = random.Random(seed)
     world = build(work=lambda: rng.choice((0.01, 0.02, 0.03, 0.06, 0.1, 0.2)))
     replies = {}
@@ -185,7 +185,7 @@
     assert sum(reply.status == 200 for reply in replies.values()) > 140
 
 
-def test_a_read_is_passed_through_byte_for_byte():
+def test_a_read_is_forwarded_byte_for_byte():
     world = build()
     reply = world.ask("akl-1", "/read/x?y=1", attempt="r1")
     world.run(1.0)
@@ -199,7 +199,7 @@
     assert reply.headers["x-attempt-id"] == "r1"
 
 
-def test_a_refused_read_is_tried_elsewhere():
+def test_a_read_refused_by_a_target_is_retried_at_another():
     world = build()
     near = next(t for t in targets_of(world, "shelf") if t.hall == "akl")
     near.faults.sheds = True
@@ -209,7 +209,7 @@
     assert len(world.runs_of("r1")) == 1
 
 
-def test_an_unrepeatable_request_runs_once_though_its_answer_is_lost():
+def test_a_non_idempotent_request_runs_once_even_if_its_answer_is_lost():
     world = build()
     for target in targets_of(world, "shelf"):
         target.faults.loses_answers = True
@@ -220,7 +220,7 @@
     assert world.runs_of("b1")[0].body == b"note"
 
 
-def test_an_unrepeatable_request_is_never_hedged():
+def test_a_non_idempotent_request_is_never_hedged():
     world = build()
     for target in targets_of(world, "shelf"):
         target.work = lambda: 1.2
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("status", [503, 429, 408])
-def test_a_promise_of_a_target_that_ran_the_request_is_not_passed_on(status):
+def test_a_retryable_status_of_a_target_that_ran_the_request_is_not_forwarded(status):
     world = build()
     for target in targets_of(world, "shelf"):
         target.faults.status = status
@@ -241,7 +241,7 @@
     assert "x-response-stamp" not in reply.headers
 
 
-def test_a_reused_address_runs_nothing():
+def test_a_process_at_a_reused_address_runs_nothing():
     world = build()
     for target in targets_of(world, "shelf"):
         target.name = f"{target.name}-new"
@@ -251,7 +251,7 @@
     assert world.runs_of("b1") == []
 
 
-def test_the_route_timeout_is_answered_at_once():
+def test_a_request_is_answered_by_its_routes_timeout():
     world = build()
     for target in targets_of(world, "shelf"):
         target.work = lambda: 9.0
@@ -261,7 +261,7 @@
     assert reply.seconds <= 2.0
 
 
-def test_unknown_paths_and_bad_requests_are_told_apart():
+def test_unknown_paths_and_invalid_requests_get_different_statuses():
     world = build()
     unknown = world.ask("akl-1", "/nowhere/")
     nameless = world.send("akl-1", b"GET /read/x HTTP/1.1\r\nHost: x.example\r\n\r\n")
@@ -270,7 +270,7 @@
     assert nameless.status == 400
 
 
-def test_an_instance_without_configuration_says_not_ready():
+def test_an_instance_without_configuration_is_not_ready():
     world = deployment.Deployment(fakes.VirtualClock())
     world.add_node("akl-1", "akl")
     world.run(1.0)
@@ -284,18 +284,18 @@
     assert world.is_ready("akl-1")
 
 
-@pytest.mark.parametrize(("way", "kept"), [(0.004, 0.011), (0.012, 0.019), (None, 0.019)])
-def test_the_latest_moment_of_an_answer_leaves_time_for_the_callers_way(way, kept):
-    assert answer_time.answer_due(10.0, 0.2, way, 0.002) == pytest.approx(10.2 - kept)
+@pytest.mark.parametrize(("delay", "kept"), [(0.004, 0.011), (0.012, 0.019), (None, 0.019)])
+def test_the_latest_time_of_an_answer_allows_for_the_delay_to_the_caller(delay, kept):
+    assert answer_time.answer_due(10.0, 0.2, delay, 0.002) == pytest.approx(10.2 - kept)
 
 
-def test_the_latest_moment_follows_the_delay_of_the_process_within_bounds():
+def test_the_latest_time_of_an_answer_follows_the_lag_of_the_process_within_bounds():
     assert answer_time.answer_due(10.0, 0.2, 0.004, 0.012) == pytest.approx(10.2 - 0.021)
     assert answer_time.answer_due(10.0, 0.2, 0.004, 5.0) == pytest.approx(10.2 - 0.029)
 
 
-def test_the_delay_of_answers_is_learned_from_those_that_leave_at_their_latest_moment():
-    # Found on 62 small machines with 90 shards: answers left later than planned, and nearly all
+def test_the_lag_is_learned_from_answers_sent_at_their_latest_time():
+    # On 62 small machines with 90 shards, answers were sent later than planned, and nearly all
     # searches were late.
     world = build()
     front = world.nodes["akl-1"]
@@ -312,8 +312,8 @@
     assert answer_time.answer_lag(lags) == answer_time.DEFAULT_LAG
 
 
-def test_a_search_in_part_reaches_its_caller_just_within_the_aim():
-    # Both targets of a shard hang, so the answer waits for them as long as it may.
+def test_a_partial_search_reaches_its_caller_just_within_the_slo():
+    # Both targets of a shard are slow, so the answer waits for them as long as it may.
     world = build()
     for target in targets_of(world, SHARDS[0]):
         target.work = lambda: 5.0
--- a/tests/test_forwarding_changes.py
+++ b/tests/test_forwarding_changes.py
@@ -1,4 +1,4 @@
-"""Configuration, targets and instances that change, under the platform's faults."""
+"""Changes of the configuration, targets and instances while the platform's store fails."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return [run for run in world.runs if run.target == target.name and run.at >= since]
 
 
-def keep_asking(world, seconds, path="/read/x"):
+def send_reads(world, seconds, path="/read/x"):
     end = world.clock.seconds() + seconds
     while world.clock.seconds() < end:
         for name in world.nodes:
@@ -35,14 +35,14 @@
         world.run(0.05)
 
 
-def test_a_configuration_is_in_force_everywhere_in_time():
+def test_a_configuration_is_in_force_on_all_instances_in_time():
     world = test_forwarding.build()
     world.configure([*ROUTES, NEW])
     world.run(IN_FORCE - 0.5)
     assert set(statuses(world, "/new/x").values()) == {200}
 
 
-def test_a_configuration_comes_in_time_though_the_halls_readers_die():
+def test_a_configuration_is_in_force_in_time_although_the_halls_readers_die():
     world = test_forwarding.build()
     readers = [name for name, node in world.nodes.items() if node._directory._is_reader()]
     assert len(readers) == len(deployment.HALLS)
@@ -56,7 +56,7 @@
     assert {reply.status for reply in replies.values()} == {200}
 
 
-def test_an_instance_cut_from_the_store_learns_from_its_hall():
+def test_an_instance_cut_off_from_the_store_is_updated_by_its_hall():
     world = test_forwarding.build()
     address = world.address_of("akl-1")
     world.network.cut(address, deployment.STORE_ADDRESS)
@@ -66,7 +66,7 @@
     assert statuses(world, "/new/x")["akl-1"] == 200
 
 
-def test_a_hall_cut_from_the_store_learns_from_other_halls():
+def test_a_hall_cut_off_from_the_store_is_updated_by_other_halls():
     world = test_forwarding.build()
     for name in ("akl-1", "akl-2"):
         world.network.cut(world.address_of(name), deployment.STORE_ADDRESS)
@@ -75,7 +75,7 @@
     assert set(statuses(world, "/new/x").values()) == {200}
 
 
-def test_a_version_never_steps_back():
+def test_a_lower_version_is_ignored():
     world = test_forwarding.build()
     world.configure([*ROUTES, NEW], version=9)
     world.run(IN_FORCE)
@@ -84,14 +84,14 @@
     assert set(statuses(world, "/new/x").values()) == {200}
 
 
-def test_a_bad_configuration_keeps_the_last_good_one_in_force():
+def test_an_invalid_configuration_leaves_the_last_valid_one_in_force():
     world = test_forwarding.build()
     world.store.write("op/config", "e30=")
     world.run(IN_FORCE)
     assert set(statuses(world, "/read/x").values()) == {200}
 
 
-def test_calls_to_the_store_grow_with_halls():
+def test_calls_to_the_store_grow_with_halls_and_not_with_instances():
     world = test_forwarding.build()
     before = sum(world.server.calls.values())
     world.run(12.0)
@@ -107,26 +107,26 @@
     assert many <= few + 3
 
 
-def test_a_leaving_target_gets_nothing_new_after_the_bound():
+def test_a_draining_target_gets_no_new_requests_after_the_bound():
     world = test_forwarding.build()
     target = shelf(world, "akl")
     world.announce(target, "draining")
     since = world.clock.seconds() + 3.0
-    keep_asking(world, 5.0)
+    send_reads(world, 5.0)
     assert arrivals(world, target, since) == []
 
 
-def test_a_target_that_leaves_while_the_history_is_lost_gets_nothing_new():
+def test_a_target_removed_while_the_history_is_lost_gets_no_new_requests():
     world = test_forwarding.build()
     target = shelf(world, "akl")
     world.withdraw(target)
     world.store.forget_history()
     since = world.clock.seconds() + 3.0
-    keep_asking(world, 5.0)
+    send_reads(world, 5.0)
     assert arrivals(world, target, since) == []
 
 
-def test_entries_that_lapse_in_an_outage_are_kept_until_their_targets_had_time_to_return():
+def test_entries_that_expire_in_an_outage_are_kept_until_targets_had_time_to_renew_them():
     world = test_forwarding.build()
     world.server.faults.is_down = True
     for target in test_forwarding.targets_of(world, "shelf"):
@@ -137,11 +137,11 @@
     assert set(statuses(world, "/read/x", 0.2).values()) == {200}
     for target in test_forwarding.targets_of(world, "shelf"):
         world.announce(target)
-    keep_asking(world, 4.0)
+    send_reads(world, 4.0)
     assert set(statuses(world, "/read/x").values()) == {200}
 
 
-def test_an_entry_still_missing_after_the_grace_is_gone():
+def test_an_entry_still_missing_after_the_grace_period_is_dropped():
     world = test_forwarding.build()
     world.server.faults.is_down = True
     target = shelf(world, "akl")
@@ -149,11 +149,11 @@
     world.run(4.0)
     world.server.faults.is_down = False
     since = world.clock.seconds() + 4.0
-    keep_asking(world, 6.0)
+    send_reads(world, 6.0)
     assert arrivals(world, target, since) == []
 
 
-def test_the_last_view_serves_through_an_outage():
+def test_requests_are_served_from_the_last_view_during_an_outage():
     world = test_forwarding.build()
     world.server.faults.is_silent = True
     world.run(20.0)
@@ -161,7 +161,7 @@
     assert world.is_ready("akl-1")
 
 
-def test_an_instance_restarted_in_an_outage_gets_everything_from_a_peer():
+def test_an_instance_restarted_during_an_outage_gets_all_data_from_a_peer():
     world = test_forwarding.build()
     world.host_of("akl-1").kill()
     world.server.faults.is_down = True
@@ -174,7 +174,7 @@
     assert statuses(world, "/read/x")["akl-1"] == 200
 
 
-def test_a_new_set_of_shards_never_mixes_with_the_old_one():
+def test_a_new_set_of_shards_is_never_mixed_with_the_old_one():
     world = test_forwarding.build()
     fresh = [f"n{number:02d}" for number in range(8)]
     for number, shard in enumerate(fresh):
@@ -199,7 +199,7 @@
     assert seen == {8, 12}
 
 
-def test_a_planned_stop_cuts_no_request_and_ends_in_time():
+def test_a_planned_stop_aborts_no_request_and_ends_in_time():
     world = test_forwarding.build(work=lambda: 0.25)
     node = world.nodes["akl-1"]
     replies = [world.ask("akl-1", "/read/x") for _ in range(4)]
@@ -215,7 +215,7 @@
     assert world.host_of("akl-1").is_stopped
 
 
-def test_a_stop_waits_for_requests_of_other_fronts():
+def test_a_stop_waits_for_queries_of_other_instances():
     world = test_forwarding.build(work=lambda: 0.15)
     replies = []
     for name in ("wlg-1", "wlg-2"):
@@ -228,7 +228,7 @@
         test_forwarding.check_search(world, reply, f"s{number}")
 
 
-def test_a_caller_that_leaves_is_cancelled_at_the_targets():
+def test_requests_are_cancelled_at_the_targets_when_their_caller_disconnects():
     world = test_forwarding.build(work=lambda: 1.5)
     world.ask("akl-1", "/read/x", attempt="r1")
     world.ask("akl-1", "/search/q", attempt="q1")
@@ -240,7 +240,7 @@
     assert cancelled == begun
 
 
-def test_an_unrepeatable_run_is_not_broken_off_when_its_caller_leaves():
+def test_a_running_non_idempotent_request_is_not_cancelled_when_its_caller_disconnects():
     world = test_forwarding.build(work=lambda: 1.0)
     world.ask("akl-1", "/bill/x", "POST", b"note", attempt="b1")
     world.run(0.1)
@@ -273,7 +273,7 @@
         assert inside <= requests * 1.2 + 54
 
 
-def test_a_frozen_instance_is_passed_over_and_comes_back():
+def test_a_suspended_instance_is_bypassed_and_used_again_later():
     world = test_forwarding.build()
     frozen = [world.host_of(name) for name in ("wlg-1", "wlg-2")]
     for host in frozen:
@@ -290,8 +290,8 @@
     assert set(statuses(world, "/search/q").values()) == {200}
 
 
-def test_a_fault_while_taking_an_answer_in_does_not_end_the_updates():
-    # Alone, so that no peer brings what the instance fails to read itself.
+def test_an_error_while_applying_a_store_response_does_not_end_the_updates():
+    # The instance runs alone, so that no peer delivers what it fails to read itself.
     world = test_forwarding.build()
     for name in list(world.nodes)[1:]:
         world.host_of(name).power_off()
@@ -315,9 +315,9 @@
     assert statuses(world, "/new/x") == {"akl-1": 200}
 
 
-def test_requests_that_come_while_an_instance_starts_are_served():
-    # Found in the log of a played day: requests held for the configuration were let go before the
-    # targets were known, and so refused.
+def test_requests_that_arrive_while_an_instance_starts_are_served():
+    # Guards against requests that are held for the configuration being resumed, and refused, before
+    # the targets are known.
     world = test_forwarding.build()
     world.host_of("akl-1").kill()
     world.run(1.0)
@@ -337,7 +337,7 @@
         world.network.cut(other, address)
     old = test_forwarding.targets_of(world, "shelf")
     for target in old:
-        # The addresses belong to other processes by now, which the instance can't know.
+        # The addresses now belong to other processes, which the instance can't know.
         target.name = f"{target.name}-new"
     world.run(3.5)
     assert world.is_ready(name), "the last view serves"
@@ -356,36 +356,36 @@
     assert statuses(world, "/read/x")[name] == 200
 
 
-def test_a_target_that_comes_and_goes_between_two_looks_is_known_to_nobody():
-    # Found on a hunted day (DRAIN): the reader of a hall told its peers of the entry and kept its
-    # removal from them, because it had not known the target before.
+def test_a_target_added_and_removed_between_two_polls_is_known_to_no_instance():
+    # Guards against the reader of a hall sending its peers the new entry but not its removal,
+    # because it had not known the target before.
     world = test_forwarding.build()
-    short = world.add_target("shelf", "akl")
-    world.withdraw(short)
+    brief = world.add_target("shelf", "akl")
+    world.withdraw(brief)
     world.run(4.0)
     for node in world.nodes.values():
-        assert short.name not in {entry.id for entry in node._directory.entries}
+        assert brief.name not in {entry.id for entry in node._directory.entries}
 
 
-def test_a_target_that_comes_and_leaves_between_two_looks_gets_no_request():
+def test_a_target_added_and_draining_between_two_polls_gets_no_request():
     world = test_forwarding.build()
-    short = world.add_target("shelf", "akl")
-    world.announce(short, "draining")
+    brief = world.add_target("shelf", "akl")
+    world.announce(brief, "draining")
     world.run(3.0)
     for name in world.nodes:
         for _ in range(6):
             world.ask(name, "/read/x")
     world.run(1.0)
-    assert not [run for run in world.runs if run.target == short.name]
+    assert not [run for run in world.runs if run.target == brief.name]
 
 
 @pytest.mark.parametrize("path", ["/bill/q", "/search/q"])
-def test_a_request_that_comes_at_the_very_end_of_a_stop_is_refused_and_not_cut(path):
-    # Found by the soak, seed 40 of 20 s: a bill that came 3.47 of 3.6 seconds after the signal to
-    # stop ran for 0.18 seconds, and its caller's connection was closed without an answer.
+def test_a_request_at_the_very_end_of_a_stop_is_answered_and_not_aborted(path):
+    # Guards against a non-idempotent request that arrives 3.47 s after the stop signal, of 3.6 s,
+    # and is still running 0.18 s later when its caller's connection is closed without an answer.
     world = test_forwarding.build(work=lambda: 0.5)
     world.nodes["akl-1"].stop()
-    # Requests under way keep the process from ending before its time.
+    # Requests in progress keep the process from exiting early.
     for _ in range(13):
         world.ask("akl-1", "/bill/q", "POST")
         world.run(0.4)
@@ -395,10 +395,10 @@
 
 
 @pytest.mark.parametrize("path", ["/bill/q", "/read/q", "/search/q"])
-def test_a_request_that_turns_slow_at_the_end_of_a_stop_is_answered_and_not_cut(path):
-    # Found by the soak, seeds 23 and 30 of 20 s: a read that came 0.94 of 3.6 s before the end of a
-    # stop, and would usually have been answered, met slow targets; its connection was closed at the
-    # end, 0.06 s before its deadline.
+def test_a_request_that_becomes_slow_at_the_end_of_a_stop_is_answered_and_not_aborted(path):
+    # Guards against a read that arrives 0.94 s before the end of a stop of 3.6 s, when it would
+    # usually finish in time, but whose targets have become slow: its connection was closed at the
+    # exit, 0.06 s before its deadline.
     world = test_forwarding.build()
     method = "POST" if path == "/bill/q" else "GET"
     for _ in range(3):
@@ -407,8 +407,8 @@
     for target in world.targets.values():
         target.work = lambda: 30.0
     world.nodes["akl-1"].stop()
-    # A request under way keeps the process from ending before its time; it must come while the
-    # balancer may still send some, for 3 s: a process without work ends after that.
+    # A request in progress keeps the process from exiting early. It must arrive while the load
+    # balancer may still send requests, for 3 s: without work, the process exits after that.
     world.run(2.9)
     world.ask("akl-1", "/read/other")
     world.run(1.7)
--- a/tests/test_home_regions.py
+++ b/tests/test_home_regions.py
@@ -1,4 +1,4 @@
-"""Requests of routes with home regions reach targets and gatherers there, and nobody else."""
+"""Requests of routes with home regions reach only targets and gatherers in those regions."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     return {world.targets[run.target].hall for run in world.runs_of(attempt)}
 
 
-def note_queries(world):
-    """Record the halls of the gatherers that are asked, by the front's own hall."""
+def record_gatherer_queries(world):
+    """Record, for every gatherer query, the gatherer's data hall and the attempt."""
     asked = []
     for name, node in world.nodes.items():
         own = node._gatherer.on_query
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(("path", "method"), [("/home/q", "GET"), ("/homebill/q", "POST")])
-def test_one_target_is_asked_at_home_wherever_the_caller_connects(path, method):
+def test_a_request_reaches_a_target_in_its_home_region_whichever_instance_gets_it(path, method):
     world = build()
     for name in world.nodes:
         reply = world.ask(name, path, method, attempt=f"q-{name}")
@@ -55,9 +55,9 @@
         assert halls_of(world, f"q-{name}") == {"akl"}
 
 
-def test_a_search_stays_at_home_with_its_gatherers():
+def test_a_search_and_its_gatherers_stay_in_the_home_regions():
     world = build()
-    asked = note_queries(world)
+    asked = record_gatherer_queries(world)
     for name in world.nodes:
         reply = world.ask(name, "/homesearch/q", attempt=f"q-{name}")
         world.run(1.0)
@@ -66,7 +66,7 @@
     assert {hall for hall, _ in asked} == {"akl", "wlg"}
 
 
-def test_hedges_stay_at_home():
+def test_hedges_stay_in_the_home_regions():
     world = build()
     for target in world.targets.values():
         if target.hall in ("akl", "wlg"):
@@ -78,7 +78,7 @@
         assert halls_of(world, path) <= {"akl", "wlg"}
 
 
-def test_repeats_after_failures_stay_at_home():
+def test_retries_stay_in_the_home_region():
     world = build()
     for target in test_forwarding.targets_of(world, "shelf"):
         if target.hall == "akl":
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize(
     ("path", "method"), [("/home/q", "GET"), ("/homebill/q", "POST"), ("/homesearch/q", "GET")]
 )
-def test_without_a_target_at_home_a_request_is_refused_at_once_as_not_run(path, method):
+def test_without_a_target_in_the_home_regions_a_request_is_refused_at_once_as_not_run(path, method):
     world = build()
     for target in world.targets.values():
         if target.hall in ("akl", "wlg"):
@@ -106,7 +106,7 @@
     assert not world.runs_of("q")
 
 
-def test_new_homes_hold_for_requests_that_come_after_them():
+def test_changed_home_regions_apply_to_later_requests():
     world = build()
     moved = {**HOME, "AllowedRegions": ["chc"]}
     world.configure([moved, HOME_BILL, HOME_SEARCH])
@@ -118,7 +118,7 @@
         assert halls_of(world, f"q-{name}") == {"chc"}
 
 
-def test_a_region_that_does_not_exist_is_no_home_of_any_target():
+def test_an_unknown_home_region_matches_no_target():
     world = build(routes=[{**HOME, "AllowedRegions": ["nowhere"]}])
     reply = world.ask("akl-1", "/home/q", attempt="q")
     world.run(1.0)
@@ -126,7 +126,7 @@
     assert not world.runs_of("q")
 
 
-def test_a_suspect_is_tried_at_home():
+def test_a_trial_of_a_suspect_stays_in_the_home_region():
     world = build()
     shelf = test_forwarding.targets_of(world, "shelf")
     for target in shelf:
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("homes", ["akl", [1], [""], {"akl": 1}])
-def test_homes_of_another_type_are_refused_with_the_configuration(homes):
+def test_a_configuration_with_home_regions_of_a_wrong_type_is_refused(homes):
     document = b'{"ConfigVersion": 1, "Services": [], "Routing": [%s]}'
     route = json.dumps({**HOME, "Hostname": "x", "TimeoutMs": 10, "AllowedRegions": homes})
     with pytest.raises(configuration.ConfigurationError, match="AllowedRegions"):
--- a/tests/test_older_copy.py
+++ b/tests/test_older_copy.py
@@ -1,14 +1,9 @@
-"""The store came back from a copy some seconds old, and its revisions were given out again.
+"""The store is restored from a copy some seconds old, and assigns its revisions a second time.
 
-The readers of all halls went on asking from the highest revision that they had ever seen. Until
-the store's count had passed it they were refused and read everything; from then on they were
-answered, but with what is numbered above the old place only. A configuration that was written in
-between, with a number below it, came into force nowhere, and requests on its route were refused
-for seconds:
-
-    52.80 "event": "history_gone", "revision": 68
-    53.55 (version 54 acknowledged)
-    57.71 "event": "configuration", "version": 57, "before": 50
+Guards against readers that go on polling from the highest revision they have ever seen. Once the
+store's revisions have passed it, the response contains only later changes: a configuration written
+in between, at a lower revision, came into force nowhere, and requests on its route were refused for
+seconds.
 """
 
 from __future__ import annotations
@@ -22,8 +17,8 @@
 
 IN_FORCE = 3.0
 ROUTES = [*test_forwarding_changes.ROUTES, test_forwarding_changes.NEW]
-MANY = 40
-"""Writes of others between a copy and the store's going away."""
+OTHER_WRITES = 40
+"""Writes by others between the copy and the store's outage."""
 
 
 @pytest.fixture
@@ -36,21 +31,21 @@
         world.store.write("others/key", "dg==")
 
 
-def look(world, seconds=2.5):
-    """Let all instances learn what there is."""
+def let_instances_poll(world, seconds=2.5):
+    """Run until all instances have read the current contents of the store."""
     world.run(seconds)
 
 
-def go_on(world):
-    """Let others write, and all instances learn how far the store's count is."""
-    write_others(world, MANY)
-    look(world)
+def advance_revision(world):
+    """Advance the store's revision by writes of others, and let all instances read it."""
+    write_others(world, OTHER_WRITES)
+    let_instances_poll(world)
 
 
-def assert_put_in_force(world):
-    """A configuration comes into force in time, beside writes of others."""
+def assert_comes_into_force(world):
+    """Assert that a new configuration comes into force in time while others write."""
     world.configure(ROUTES)
-    write_others(world, MANY)
+    write_others(world, OTHER_WRITES)
     world.run(IN_FORCE)
     assert set(versions(world).values()) == {world.version}
 
@@ -60,7 +55,7 @@
 
 
 def entries(world, target):
-    """What each instance holds of a target: None, or whether it is leaving."""
+    """Return, by instance, whether the target is leaving; None if the instance lacks its entry."""
     found = {}
     for name, node in world.nodes.items():
         held = {entry.id: entry.is_leaving for entry in node.directory.entries}
@@ -68,58 +63,58 @@
     return found
 
 
-def own_keys(world):
+def registered_names(world):
     prefix = registration.PREFIX
     return {item.key.removeprefix(prefix) for item in world.store.page(prefix, "")[0]}
 
 
-def test_a_version_numbered_below_the_old_place_is_in_force_in_time(world):
+def test_a_version_below_the_old_revision_comes_into_force_in_time(world):
     copy = world.store.copy()
-    go_on(world)
+    advance_revision(world)
     world.drill.come_back(copy)
-    # Refused once, and all was read: the store's count is still below the old one.
-    look(world)
-    assert_put_in_force(world)
+    # The poll is refused once, so everything is read; the revisions are still below the old one.
+    let_instances_poll(world)
+    assert_comes_into_force(world)
 
 
-def test_a_version_is_in_force_in_time_though_the_count_has_passed_the_old_place(world):
+def test_a_version_comes_into_force_in_time_once_revisions_exceed_the_old_one(world):
     copy = world.store.copy()
-    go_on(world)
+    advance_revision(world)
     world.drill.come_back(copy)
-    assert_put_in_force(world)
+    assert_comes_into_force(world)
 
 
-def test_a_target_that_leaves_after_the_return_is_left_in_time(world):
+def test_a_target_that_drains_after_the_restore_is_marked_leaving_in_time(world):
     target = test_forwarding_changes.shelf(world, "akl")
     copy = world.store.copy()
-    write_others(world, MANY)
+    write_others(world, OTHER_WRITES)
     world.announce(target)
-    look(world)
+    let_instances_poll(world)
     world.drill.come_back(copy)
-    look(world)
+    let_instances_poll(world)
     world.announce(target, "draining")
     world.run(IN_FORCE)
     assert set(entries(world, target).values()) == {True}
 
 
-def test_a_target_that_ends_after_the_return_is_left_in_time(world):
+def test_a_target_that_ends_after_the_restore_is_dropped_in_time(world):
     target = test_forwarding_changes.shelf(world, "akl")
     copy = world.store.copy()
-    write_others(world, MANY)
+    write_others(world, OTHER_WRITES)
     world.announce(target)
-    look(world)
+    let_instances_poll(world)
     world.drill.come_back(copy)
-    look(world, 4.0)
+    let_instances_poll(world, 4.0)
     world.withdraw(target)
     world.run(IN_FORCE)
     assert set(entries(world, target).values()) == {None}
 
 
-def test_a_target_that_had_left_is_not_believed_back(world):
+def test_a_target_that_had_left_is_not_used_again(world):
     target = test_forwarding_changes.shelf(world, "akl")
     copy = world.store.copy()
     world.withdraw(target)
-    look(world, IN_FORCE)
+    let_instances_poll(world, IN_FORCE)
     assert set(entries(world, target).values()) == {None}
     world.drill.come_back(copy, rewritten_after=2.0)
     for _ in range(50):
@@ -127,10 +122,10 @@
         assert set(entries(world, target).values()) == {None}
 
 
-def test_a_target_of_the_time_that_was_lost_is_kept_until_it_is_written_again(world):
+def test_a_target_whose_entry_was_lost_is_kept_until_it_is_rewritten(world):
     copy = world.store.copy()
     target = world.add_target("shelf", "akl")
-    look(world)
+    let_instances_poll(world)
     assert set(entries(world, target).values()) == {False}
     world.drill.come_back(copy, rewritten_after=1.5)
     for _ in range(40):
@@ -138,52 +133,52 @@
         assert set(entries(world, target).values()) == {False}
 
 
-def test_a_hall_that_is_evacuated_after_the_return_is_left_in_time(world):
+def test_a_hall_that_is_evacuated_after_the_restore_is_avoided_in_time(world):
     copy = world.store.copy()
-    write_others(world, MANY)
+    write_others(world, OTHER_WRITES)
     world.evacuate("akl")
-    look(world)
+    let_instances_poll(world)
     world.end_evacuation("akl")
-    look(world)
+    let_instances_poll(world)
     world.drill.come_back(copy)
-    look(world)
+    let_instances_poll(world)
     world.evacuate("akl")
     world.run(IN_FORCE)
     assert {node.directory.evacuated for node in world.nodes.values()} == {frozenset({"akl"})}
 
 
-def test_an_evacuation_of_the_time_that_was_lost_is_obeyed_all_the_while(world):
+def test_an_evacuation_that_was_lost_stays_in_force_until_it_is_rewritten(world):
     copy = world.store.copy()
     world.evacuate("akl")
-    look(world)
+    let_instances_poll(world)
     world.drill.come_back(copy, rewritten_after=1.5)
     for _ in range(40):
         world.run(0.1)
         assert {node.directory.evacuated for node in world.nodes.values()} == {frozenset({"akl"})}
 
 
-def test_an_evacuation_that_the_operators_do_not_repeat_ends(world):
+def test_a_lost_evacuation_that_is_not_rewritten_ends(world):
     copy = world.store.copy()
     world.evacuate("akl")
-    look(world)
+    let_instances_poll(world)
     world.store.come_back(copy)
-    look(world, 6.0)
+    let_instances_poll(world, 6.0)
     assert {node.directory.evacuated for node in world.nodes.values()} == {frozenset()}
 
 
-def test_the_keys_of_all_instances_are_back_soon(world):
+def test_all_instances_rewrite_their_keys_soon(world):
     copy = world.store.copy()
     world.add_node("akl-3", "akl")
-    look(world)
+    let_instances_poll(world)
     world.drill.come_back(copy)
-    look(world, 4.0)
-    assert own_keys(world) == set(world.nodes)
+    let_instances_poll(world, 4.0)
+    assert registered_names(world) == set(world.nodes)
 
 
-def test_an_instance_that_starts_beside_an_older_configuration_asks_those_who_know(world):
+def test_an_instance_that_starts_after_the_restore_pulls_the_newer_configuration(world):
     copy = world.store.copy()
     world.configure(ROUTES)
-    look(world)
+    let_instances_poll(world)
     world.drill.come_back(copy, rewritten_after=5.0)
     world.run(0.1)
     world.add_node("akl-3", "akl")
@@ -191,15 +186,15 @@
     assert versions(world)["akl-3"] == world.version
 
 
-def test_an_instance_that_stood_still_through_it_learns_what_is_new(world):
+def test_an_instance_suspended_during_the_restore_catches_up(world):
     target = test_forwarding_changes.shelf(world, "akl")
     copy = world.store.copy()
-    write_others(world, MANY)
+    write_others(world, OTHER_WRITES)
     world.announce(target)
-    look(world)
+    let_instances_poll(world)
     world.host_of("akl-1").freeze()
     world.drill.come_back(copy)
-    look(world)
+    let_instances_poll(world)
     world.configure(ROUTES)
     world.announce(target, "draining")
     world.run(0.5)
@@ -209,22 +204,22 @@
     assert set(entries(world, target).values()) == {True}
 
 
-def test_a_second_return_soon_after_the_first_is_told_apart(world):
+def test_a_second_restore_soon_after_the_first_is_detected(world):
     first = world.store.copy()
-    go_on(world)
+    advance_revision(world)
     world.drill.come_back(first)
     world.run(0.7)
     second = world.store.copy()
-    go_on(world)
+    advance_revision(world)
     world.drill.come_back(second)
-    look(world)
-    assert_put_in_force(world)
+    let_instances_poll(world)
+    assert_comes_into_force(world)
 
 
-def test_a_version_that_is_written_with_other_contents_is_taken(world):
+def test_the_same_version_with_other_contents_is_applied(world):
     copy = world.store.copy()
     world.configure(test_forwarding_changes.ROUTES, version=9)
-    look(world)
+    let_instances_poll(world)
     world.store.come_back(copy)
     world.run(0.1)
     world.configure(ROUTES, version=9)
@@ -232,39 +227,39 @@
     assert set(test_forwarding_changes.statuses(world, "/new/x").values()) == {200}
 
 
-def test_the_keys_that_others_write_are_named_once():
+def test_keys_of_other_writers_share_the_foreign_prefixes():
     assert documents.target_key("i-1").startswith(documents.FOREIGN_PREFIXES)
     assert documents.CONFIGURATION_KEY.startswith(documents.FOREIGN_PREFIXES)
 
 
-def test_suspects_that_the_store_lost_are_written_again(world):
+def test_suspects_that_the_store_lost_are_rewritten(world):
     copy = world.store.copy()
     suspects = world.nodes["akl-1"]._suspects
     suspects.note_broken("c" * 24, ["i-1"], "a1", is_trial=True)
-    look(world)
+    let_instances_poll(world)
     prefix = suspect_documents.PREFIX
     assert len(world.store.page(prefix, "")[0]) == 1
     world.drill.come_back(copy)
-    look(world)
+    let_instances_poll(world)
     assert [item.key for item in world.store.page(prefix, "")[0]] == [prefix + "c" * 24]
 
 
-def test_an_instance_cut_from_the_store_hears_of_the_return_from_its_peers(world):
+def test_an_instance_cut_off_from_the_store_learns_of_the_restore_from_its_peers(world):
     address = world.address_of("akl-1")
     world.network.cut(address, deployment.STORE_ADDRESS)
     world.network.cut(deployment.STORE_ADDRESS, address)
     copy = world.store.copy()
-    go_on(world)
+    advance_revision(world)
     world.drill.come_back(copy)
-    look(world)
+    let_instances_poll(world)
     assert world.nodes["akl-1"]._store.era.value == world.store.era
 
 
-def test_instances_write_their_keys_again_spread_over_a_while(world):
+def test_each_instance_registers_again_once(world):
     copy = world.store.copy()
-    look(world)
+    let_instances_poll(world)
     calls = world.server.calls
     before = calls["kv-lease"]
     world.drill.come_back(copy)
-    look(world)
+    let_instances_poll(world)
     assert calls["kv-lease"] - before == len(world.nodes)
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""The end of a stop on real sockets: answers that are still being written."""
+"""Planned stops on real sockets, while answers are still being written."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from lineworks.kernel import listening
 
 BODY = b"x" * (8 << 20)
-"""A body that no socket's buffers hold."""
+"""A body larger than any socket buffer."""
 
 READ_BYTES = 64 << 10
-"""Bytes that the slow caller reads at a time."""
+"""Maximum bytes per read of the slow caller."""
 
-READ_PAUSE = 0.003
-"""Seconds between its reads: it needs some 0.4 s for the body."""
+READ_INTERVAL = 0.003
+"""Seconds between its reads: it takes about 0.4 s to read the body."""
 
 
 class Reactor(selectreactor.SelectReactor):
-    """Notes its stop, and is turned by hand."""
+    """A reactor that records its stop, and is iterated by the test."""
 
     is_over = False
 
     def stop(self):
         self.is_over = True
 
-    def turn(self):
+    def iterate(self):
         self.runUntilCurrent()
         self.doIteration(0.001)
 
 
 class Idle:
-    """Requests, or queries, of which none is under way."""
+    """Stand-in for a front or gatherer without work in progress."""
 
     is_idle = True
 
@@ -43,8 +43,16 @@
         return 0
 
 
-def whole_answer(grace, is_early):
-    """Ask a server that stops, read its answer slowly, and tell how much came in which time."""
+def stop_with_slow_reader(grace, is_early):
+    """Stop a server while a slow caller reads its answer.
+
+    Args:
+        grace: Grace period of the stop, in seconds.
+        is_early: Whether the answer is written at the start of the stop, not at its end.
+
+    Returns:
+        The bytes that the caller received, and the requests reported as undelivered.
+    """
     reactor = Reactor()
     waiting = []
     undelivered = []
@@ -61,40 +69,40 @@
     caller.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     caller.setblocking(False)
     while not waiting:
-        reactor.turn()
+        reactor.iterate()
     stop = planned_stop.PlannedStop(
         reactor, "n1", grace, server, Idle(), Idle(), lambda: listening.close(port)
     )
     stop.begin(reactor.seconds())
     if not is_early:
         while reactor.seconds() < stop.answer_by:
-            reactor.turn()
+            reactor.iterate()
     waiting[0](server_connection.Answer(200, [], BODY))
-    seen = 0
+    received = 0
     while not reactor.is_over:
-        reactor.turn()
-        time.sleep(READ_PAUSE)
+        reactor.iterate()
+        time.sleep(READ_INTERVAL)
         try:
-            seen += len(caller.recv(READ_BYTES))
+            received += len(caller.recv(READ_BYTES))
         except BlockingIOError:
             continue
-    # What the process has handed to the system still comes, unless it was reset.
+    # Data already handed to the operating system is still delivered unless the connection is reset.
     reactor.disconnectAll()
     caller.setblocking(True)
-    while data := caller.recv(READ_BYTES):
-        seen += len(data)
+    while chunk := caller.recv(READ_BYTES):
+        received += len(chunk)
     caller.close()
-    return seen, undelivered
+    return received, undelivered
 
 
 def test_a_stop_waits_for_an_answer_that_is_still_being_written():
-    seen, undelivered = whole_answer(grace=4.0, is_early=True)
-    assert seen > len(BODY)
+    received, undelivered = stop_with_slow_reader(grace=4.0, is_early=True)
+    assert received > len(BODY)
     assert undelivered == []
 
 
-def test_an_answer_that_its_caller_reads_too_slowly_is_told_of():
-    # The process has to end; then the log names the caller that got a part.
-    seen, undelivered = whole_answer(grace=1.0, is_early=False)
-    assert seen < len(BODY)
+def test_an_answer_that_its_caller_reads_too_slowly_is_reported():
+    # The process has to exit; the request whose answer was cut short must be reported.
+    received, undelivered = stop_with_slow_reader(grace=1.0, is_early=False)
+    assert received < len(BODY)
     assert len(undelivered) == 1
