--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -260,12 +260,12 @@
 
     async def _read_store(self) -> None:
         """Read the changes from the store, or everything on the first call."""
-        asked_at = self._reactor.seconds()
+        polled_at = self._reactor.seconds()
         try:
             if self._view.position != positions.ABSENT:
-                await self._read_changes(asked_at)
+                await self._read_changes(polled_at)
             else:
-                await self._read_all(asked_at)
+                await self._read_all(polled_at)
         except store.StoreError as error:
             self._on_failure(str(error), isinstance(error, store.StoreBusyError))
             return
@@ -276,13 +276,13 @@
             return
         self._on_success()
 
-    async def _read_all(self, asked_at: float) -> None:
+    async def _read_all(self, polled_at: float) -> None:
         """Read all items of the store."""
         listing = await self._store.list_items(_ALL_KEYS)
         rows = [store_items.Change(item.key, item.position, item.value) for item in listing.items]
         is_changed = self._replace(_evacuation_changes(rows), self._decode(rows), listing.position)
         self._has_targets = True
-        self._fresh_at = max(self._fresh_at, asked_at)
+        self._fresh_at = max(self._fresh_at, polled_at)
         self._apply_other_keys(rows)
         if is_changed:
             self.on_targets()
@@ -302,13 +302,13 @@
         is_changed |= self._view.replace(entries, position, hold, self._doubt_until, held)
         return is_changed
 
-    async def _read_changes(self, asked_at: float) -> None:
+    async def _read_changes(self, polled_at: float) -> None:
         """Read the changes since the last call."""
         before = self._view.position
         try:
             found = await self._store.watch(_ALL_KEYS, before, 0.0)
         except store.HistoryGoneError:
-            await self._read_all(asked_at)
+            await self._read_all(polled_at)
             _log.info(
                 "history_gone",
                 revision=before.revision,
@@ -325,7 +325,7 @@
         is_changed = self._evacuations.apply(evacuation_changes)
         is_changed |= self._view.apply(entries, self._hold_deadline())
         self._view.position = max(self._view.position, found.position)
-        self._fresh_at = max(self._fresh_at, asked_at)
+        self._fresh_at = max(self._fresh_at, polled_at)
         self._apply_other_keys(found.changes)
         if is_changed:
             self.on_targets()
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -250,15 +250,15 @@
         without = sorted(mechanism.value for mechanism in settings.without)
         _log.info("started", name=settings.name, hall=settings.hall, without=without)
 
-    def stop(self, asked_at: float | None = None) -> None:
+    def stop(self, signalled_at: float | None = None) -> None:
         """Begin a planned stop: the process exits when deregistered and all work is done.
 
         Args:
-            asked_at: When the signal was received, in seconds; now if not given.
+            signalled_at: When the signal was received, in seconds; now if not given.
         """
         if self._stop.is_begun:
             return
-        self._stop.begin(self._reactor.seconds() if asked_at is None else asked_at)
+        self._stop.begin(self._reactor.seconds() if signalled_at is None else signalled_at)
         self._links.broadcast(self._heartbeat())
 
     def _connect_services(self) -> None:
--- a/src/lineworks/forwarding/planned_stop.py
+++ b/src/lineworks/forwarding/planned_stop.py
@@ -70,17 +70,16 @@
 
     @property
     def answer_by(self) -> float:
-        """When requests in progress are answered at the latest, in seconds; infinite before the
-        stop."""
+        """Latest time at which requests in progress are answered, in seconds; infinite at first."""
         return math.inf if self._times is None else self._times.answer_by
 
-    def begin(self, asked_at: float) -> None:
+    def begin(self, signalled_at: float) -> None:
         """Begin the stop: the process exits when all work is done, or when the time is up.
 
         Args:
-            asked_at: When the signal was received, in seconds.
+            signalled_at: When the signal was received, in seconds.
         """
-        self._times = stop_times.plan(asked_at, self._grace)
+        self._times = stop_times.plan(signalled_at, self._grace)
         _log.info("stopping", name=self._name)
         self._poll(self._times)
 
--- a/src/lineworks/forwarding/registration.py
+++ b/src/lineworks/forwarding/registration.py
@@ -89,8 +89,7 @@
 
     @property
     def listed_count(self) -> int:
-        """Number of listed instances, including this one once its key is; 0 before the first list
-        is read."""
+        """Number of listed instances, including this one once its key is; 0 without any list."""
         return len(self._members)
 
     @property
