--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -1,8 +1,9 @@
 """Keeps the configuration and the targets up to date, with few calls to the platform's store.
 
-In each data hall one instance asks the store in short intervals and tells its peers what changed;
-the others ask only when they hear nothing. So the calls grow with the halls, not with the
-instances, and no instance depends on another: one whose knowledge gets old asks for itself.
+In each data hall one instance, the reader, polls the store at short intervals and sends the changes
+to its peers; the others poll only when they receive nothing. So the number of calls grows with the
+halls, not with the instances, and no instance depends on another: one whose data becomes stale
+polls the store itself.
 """
 
 from __future__ import annotations
@@ -25,54 +26,57 @@
     from lineworks.services import peer_links
     from lineworks.wire import frames
 
-NEVER_AGE = 1e9
-"""Age, in seconds, that stands for never: logs and metrics have no infinity."""
+NEVER_READ_AGE = 1e9
+"""Age, in seconds, reported before anything was read: logs and metrics can't express infinity."""
 
-TICK = 0.05
-"""Seconds between looks at whether the store should be asked."""
+TICK_SECONDS = 0.05
+"""Seconds between checks whether a call to the store or another timeout is due."""
 
 POLL_SECONDS = 1.2
-"""Age of the knowledge, in seconds, at which a hall's reader asks the store. With the answer and
-the way to the peers it stays well below the three seconds in which a change must be in force."""
+"""Age of the data, in seconds, at which a hall's reader polls the store. Including the response
+time and the delay to the peers, it is well below the three seconds within which a change must be in
+force."""
 
 FALLBACK_SECONDS = 1.9
-"""Age at which any instance asks for itself, because its hall's reader is silent."""
+"""Age of the data, in seconds, at which any instance polls the store itself, because it has heard
+nothing from its hall's reader."""
 
 FALLBACK_SPREAD = 0.2
-"""Seconds over which instances spread their own first calls."""
+"""Seconds over which instances spread the start of such fallback calls."""
 
 RETRY_SECONDS = 0.4
-"""Seconds between calls while the store fails; doubled with each failure."""
+"""Initial pause between calls while the store fails, in seconds; doubled with each failure."""
 
-MOST_RETRY_SECONDS = 1.0
-"""Seconds between calls while the store fails at most: its return must be noticed soon."""
+MAX_RETRY_SECONDS = 1.0
+"""Maximum pause between calls while the store fails, in seconds: its recovery must be detected
+quickly."""
 
-BLIND_PAUSE = 0.2
-"""Seconds between calls while nothing can be served: they fail, or the store holds no configuration
-yet. Callers are refused meanwhile, and such a call costs little."""
+INCOMPLETE_RETRY_SECONDS = 0.2
+"""Pause between calls, in seconds, while no request can be served because the calls fail or the
+store holds no configuration yet. Callers are refused in the meantime, and such a call is cheap."""
 
-BEHIND_SECONDS = 1.5
-"""Seconds that a peer may be known to have a newer configuration before it is asked for it: the
-store or the hall's reader usually bring it by then, without bytes between regions."""
+PULL_DELAY_SECONDS = 1.5
+"""Seconds between learning that a peer has a newer configuration and requesting it from that peer.
+The store or the hall's reader usually delivers it by then, without traffic between regions."""
 
-PULL_PAUSE = 0.5
-"""Seconds between pulls from peers at least: all peers tell of a new configuration at about the
-same time, and an answer from another region takes less."""
+MIN_PULL_INTERVAL = 0.5
+"""Minimum seconds between pulls from peers: all peers announce a new configuration at about the
+same time, and a response from another region takes less than this."""
 
-UNSURE_SECONDS = 3.0
-"""Seconds after the start, and after the store's return from an older copy, in which a peer with a
-newer configuration is asked for it at once: what the store shows may be older than what was in
-force."""
+UNCERTAIN_SECONDS = 3.0
+"""Seconds after the start, and after the store was restored from an older copy, during which a
+newer configuration is pulled from a peer immediately: the store's version may be older than the one
+that was in force."""
 
-REFUSED_PER_SECOND = 5.0
-"""Log lines a second for entries that name no target to use: anybody may write any number."""
+MAX_REFUSED_LINES_PER_SECOND = 5.0
+"""Maximum log lines per second for invalid target entries: anybody may write any number of them."""
 
-_ANY = ""
+_ALL_KEYS = ""
 _log = structlog.get_logger(component="directory")
 
 
 class Directory:
-    """What one instance knows of the configuration and the targets."""
+    """One instance's copy of the configuration, the targets and the evacuated data halls."""
 
     def __init__(
         self,
@@ -83,13 +87,13 @@
         client: store.Store,
         links: peer_links.PeerLinks,
     ) -> None:
-        """Start without knowledge.
+        """Create an empty directory.
 
         Args:
             reactor: Twisted's reactor.
-            rng: Spreads calls.
+            rng: Source of the random delays that spread calls.
             name: Name of this instance.
-            hall: Its data hall.
+            hall: Data hall of this instance.
             client: The platform's store.
             links: Links to the other instances.
         """
@@ -106,24 +110,24 @@
         self._table_era = 0
         self._has_targets = False
         self._is_unconfigured = False
-        self._unsure_since = reactor.seconds()
+        self._uncertain_since = reactor.seconds()
         self._doubt_until = 0.0
         self._fresh_at = float("-inf")
         self._next_call = 0.0
         self._failures = 0
         self._outage_since: float | None = None
         self._hold_until = 0.0
-        self._ahead: str | None = None
-        self._ahead_since = 0.0
-        self._newest_heard = 0
+        self._newer_peer: str | None = None
+        self._newer_since = 0.0
+        self._newest_known_version = 0
         self._pulled_at = float("-inf")
-        self._spread = rng.random() * FALLBACK_SPREAD
+        self._fallback_delay = rng.random() * FALLBACK_SPREAD
         self._task = task.Task("directory", self._run)
         self._refused_log = rate_limited_log.RateLimitedLog(
-            reactor, "directory", REFUSED_PER_SECOND
+            reactor, "directory", MAX_REFUSED_LINES_PER_SECOND
         )
         self.refused_entries = 0
-        """Entries read that name no target to use."""
+        """Number of invalid target entries read."""
         self.on_table: Callable[[routes.RouteTable], None] = lambda table: None
         self.on_targets: Callable[[], None] = lambda: None
         self.on_instances: Callable[[Sequence[store_items.Change]], None] = lambda rows: None
@@ -134,100 +138,104 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether there are a configuration and targets to work with."""
+        """Whether both the configuration and the targets have been received."""
         return self._table is not None and self._has_targets
 
     @property
     def version(self) -> int:
-        """Version of the configuration in force; 0 for none."""
+        """Version of the configuration in force; 0 if there is none."""
         return self._table.version if self._table is not None else 0
 
     @property
     def is_outdated(self) -> bool:
         """Whether a peer is known to have a newer configuration."""
-        return self._newest_heard > self.version
+        return self._newest_known_version > self.version
 
     @property
     def age(self) -> float:
-        """Seconds since the store is known to have held nothing newer; `NEVER_AGE` at first."""
-        return min(NEVER_AGE, self._reactor.seconds() - self._fresh_at)
+        """Seconds since the data was known to be current; `NEVER_READ_AGE` at first."""
+        return min(NEVER_READ_AGE, self._reactor.seconds() - self._fresh_at)
 
     @property
     def entries(self) -> Iterable[target_view.TargetEntry]:
-        """Entries of all targets."""
+        """The entries of all targets."""
         return self._view.entries.values()
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """Data halls whose targets get no new work."""
+        """Data halls whose targets get no new requests."""
         return self._evacuations.halls
 
     def start(self) -> None:
-        """Begin to ask the store."""
-        self._unsure_since = self._reactor.seconds()
+        """Start polling the store."""
+        self._uncertain_since = self._reactor.seconds()
         self._task.start()
 
     def stop(self) -> None:
-        """Stop asking."""
+        """Stop polling."""
         self._task.stop()
 
     def on_store_return(self) -> None:
-        """Note that the store came back from an older copy: others have yet to write again."""
+        """Handle that the store was restored from an older copy: lost writes have yet to be redone.
+
+        Until then missing entries prove nothing, and entries that reappeared are doubted.
+        """
         now = self._reactor.seconds()
-        self._unsure_since = now
+        self._uncertain_since = now
         self._hold_until = max(self._hold_until, now + target_view.REMOVAL_GRACE_SECONDS)
         self._doubt_until = now + target_view.DOUBT_SECONDS
 
     def on_peer_version(self, peer: str, version: int) -> None:
-        """Note the version in force at a peer; if this instance stays behind, it asks for it.
+        """Record the version in force at a peer, and pull it if this instance stays behind.
 
         Args:
             peer: The peer.
-            version: Version in force there.
+            version: Version in force at the peer.
         """
         if version <= self.version:
             return
-        self._newest_heard = max(self._newest_heard, version)
-        if self._ahead is None:
-            self._ahead_since = self._reactor.seconds()
-        self._ahead = peer
-        # Now, and not after a call to the store that may be under way for a while.
+        self._newest_known_version = max(self._newest_known_version, version)
+        if self._newer_peer is None:
+            self._newer_since = self._reactor.seconds()
+        self._newer_peer = peer
+        # Immediately, because a call to the store may be in progress for a while.
         self._pull_if_behind()
 
     def _pull_if_behind(self) -> None:
-        """Ask a peer for what it has, when the store and the own hall did not bring it in time."""
-        if self._ahead is None:
+        """Pull from a peer if neither the store nor the hall's reader delivered in time."""
+        if self._newer_peer is None:
             return
         now = self._reactor.seconds()
-        is_unsure = self.version > 0 and now - self._unsure_since < UNSURE_SECONDS
-        # Neither the store nor the hall's reader brings it to one whose own calls fail.
+        is_uncertain = self.version > 0 and now - self._uncertain_since < UNCERTAIN_SECONDS
+        # An instance whose own calls fail, and whose reader sends nothing, can't expect it from
+        # either.
         is_cut_off = self._failures > 0 and self.age >= FALLBACK_SECONDS
-        if is_unsure or is_cut_off or now - self._ahead_since >= BEHIND_SECONDS:
+        if is_uncertain or is_cut_off or now - self._newer_since >= PULL_DELAY_SECONDS:
             self._pull()
 
     def pull_at_once(self) -> None:
-        """Ask a peer that is ahead for what it has, because a caller is refused for lack of it."""
+        """Pull the newer configuration from a peer, because a caller was refused for lack of it."""
         self._pull()
 
     def _pull(self) -> None:
-        """Ask a peer that is ahead, unless one was asked just now."""
+        """Pull the newer configuration from a peer, unless the last pull was too recent."""
         now = self._reactor.seconds()
-        if self._ahead is None or now < self._pulled_at + PULL_PAUSE:
+        if self._newer_peer is None or now < self._pulled_at + MIN_PULL_INTERVAL:
             return
         self._pulled_at = now
-        self._links.send(self._ahead, node_frames.TablePull(self.version))
-        self._ahead = None
+        self._links.send(self._newer_peer, node_frames.TablePull(self.version))
+        self._newer_peer = None
 
     async def _run(self) -> None:
         while True:
             if self._is_due():
-                await self._ask()
+                await self._read_store()
             self._pull_if_behind()
-            self._carry_out_due()
-            await task.sleep(self._reactor, TICK)
+            self._apply_timeouts()
+            await task.sleep(self._reactor, TICK_SECONDS)
 
-    def _carry_out_due(self) -> None:
-        """Let go of what is missing, and believe what is there again, when its time has come."""
+    def _apply_timeouts(self) -> None:
+        """Drop missing entries, and accept doubted ones, whose waiting time has passed."""
         now = self._reactor.seconds()
         is_changed = self._view.expire(now)
         is_changed |= self._view.accept_doubted(now)
@@ -240,67 +248,67 @@
             return False
         if not self.is_complete and not self._is_unconfigured:
             return True
-        # Age first: who reads is found by looking at every link.
+        # The age is checked first, because finding the reader takes a look at every link.
         age = self.age
-        if age < (POLL_SECONDS if self.is_complete else BLIND_PAUSE):
+        if age < (POLL_SECONDS if self.is_complete else INCOMPLETE_RETRY_SECONDS):
             return False
-        return age >= FALLBACK_SECONDS + self._spread or self._is_reader()
+        return age >= FALLBACK_SECONDS + self._fallback_delay or self._is_reader()
 
     def _is_reader(self) -> bool:
-        """Say whether this instance reads the store for its hall."""
+        """Return whether this instance reads the store for its hall."""
         return hall_peers.acts_for_hall(self._links, self._hall, self._name, "reader")
 
-    async def _ask(self) -> None:
-        """Ask the store what is new, or for everything at first."""
-        asked_at = self._reactor.seconds()
+    async def _read_store(self) -> None:
+        """Read the changes from the store, or everything on the first call."""
+        polled_at = self._reactor.seconds()
         try:
             if self._view.position != positions.ABSENT:
-                await self._read_changes(asked_at)
+                await self._read_changes(polled_at)
             else:
-                await self._read_all(asked_at)
+                await self._read_all(polled_at)
         except store.StoreError as error:
             self._on_failure(str(error), isinstance(error, store.StoreBusyError))
             return
         except Exception as error:
-            # A fault in one answer must not end the task that all knowledge comes through.
+            # An error in one response must not end the task that provides all updates.
             _log.error("ask_failed", error=repr(error))
             self._on_failure(repr(error), is_busy=False)
             return
         self._on_success()
 
-    async def _read_all(self, asked_at: float) -> None:
-        """Read everything there is."""
-        listing = await self._store.list_items(_ANY)
+    async def _read_all(self, polled_at: float) -> None:
+        """Read all items of the store."""
+        listing = await self._store.list_items(_ALL_KEYS)
         rows = [store_items.Change(item.key, item.position, item.value) for item in listing.items]
-        is_changed = self._replace(_asked(rows), self._decode(rows), listing.position)
+        is_changed = self._replace(_evacuation_changes(rows), self._decode(rows), listing.position)
         self._has_targets = True
-        self._fresh_at = max(self._fresh_at, asked_at)
-        self._take_others(rows)
+        self._fresh_at = max(self._fresh_at, polled_at)
+        self._apply_other_keys(rows)
         if is_changed:
             self.on_targets()
         self._send_all(hall_peers.names(self._links, self._hall))
 
     def _replace(
         self,
-        asked: Iterable[evacuations.EvacuationChange],
+        evacuation_changes: Iterable[evacuations.EvacuationChange],
         entries: Iterable[target_view.TargetChange],
         position: positions.Position,
         held: Mapping[str, float] | None = None,
     ) -> bool:
-        """Take in everything as it was at one position; say whether anything changed."""
-        hold = self._hold()
-        # Before the targets are known, so that a hall that is to be left alone gets nothing.
-        is_changed = self._evacuations.replace(asked, position, hold)
+        """Replace all data by a snapshot at one position; return whether anything changed."""
+        hold = self._hold_deadline()
+        # Evacuations come before the targets, so that an evacuated hall gets no request.
+        is_changed = self._evacuations.replace(evacuation_changes, position, hold)
         is_changed |= self._view.replace(entries, position, hold, self._doubt_until, held)
         return is_changed
 
-    async def _read_changes(self, asked_at: float) -> None:
-        """Read what changed since the last time."""
+    async def _read_changes(self, polled_at: float) -> None:
+        """Read the changes since the last call."""
         before = self._view.position
         try:
-            found = await self._store.watch(_ANY, before, 0.0)
+            found = await self._store.watch(_ALL_KEYS, before, 0.0)
         except store.HistoryGoneError:
-            await self._read_all(asked_at)
+            await self._read_all(polled_at)
             _log.info(
                 "history_gone",
                 revision=before.revision,
@@ -310,20 +318,20 @@
                 in_force=self.version,
             )
             return
-        # An entry that came back while its removal was held up is news to the peers as well.
+        # An entry that came back while its removal was pending is a change for the peers as well.
         known = self._view.confirmed_entries()
         entries = self._decode(found.changes)
-        asked = _asked(found.changes)
-        is_changed = self._evacuations.apply(asked)
-        is_changed |= self._view.apply(entries, self._hold())
+        evacuation_changes = _evacuation_changes(found.changes)
+        is_changed = self._evacuations.apply(evacuation_changes)
+        is_changed |= self._view.apply(entries, self._hold_deadline())
         self._view.position = max(self._view.position, found.position)
-        self._fresh_at = max(self._fresh_at, asked_at)
-        self._take_others(found.changes)
+        self._fresh_at = max(self._fresh_at, polled_at)
+        self._apply_other_keys(found.changes)
         if is_changed:
             self.on_targets()
         effective_changes = target_view.effective_changes(known, entries)
         self._send_update(
-            hall_peers.names(self._links, self._hall), before, effective_changes, asked
+            hall_peers.names(self._links, self._hall), before, effective_changes, evacuation_changes
         )
 
     def _decode(self, rows: Iterable[store_items.Change]) -> list[target_view.TargetChange]:
@@ -335,7 +343,7 @@
             entry = None
             if row.value is not None:
                 entry = self._decode_entry(row.key, row.value)
-            # An entry that can't be used takes the place of the one that was there before.
+            # An invalid entry replaces the previous one: the target counts as removed.
             changes.append(target_view.TargetChange(name, row.position, entry))
         return changes
 
@@ -347,14 +355,14 @@
             self._refused_log.info("entry_refused", error=str(error))
             return None
 
-    def _take_others(self, rows: Sequence[store_items.Change]) -> None:
-        """Take in what is no target's entry: the configuration and the instances' keys."""
+    def _apply_other_keys(self, rows: Sequence[store_items.Change]) -> None:
+        """Apply items other than target entries: the configuration and the instances' keys."""
         for row in rows:
             if row.key == configuration.KEY and row.value is not None:
-                self._take_table(row.value, row.position.era)
+                self._apply_table(row.value, row.position.era)
         self.on_instances(rows)
 
-    def _take_table(self, document: bytes, era: int) -> None:
+    def _apply_table(self, document: bytes, era: int) -> None:
         try:
             table = configuration.decode(document)
         except configuration.ConfigurationError as error:
@@ -366,7 +374,7 @@
         _log.info("configuration", version=table.version, before=self.version, era=era)
         self._table = table
         self._table_era = era
-        self._ahead = None
+        self._newer_peer = None
         self._document = document
         self.on_table(table)
         update = node_frames.TableUpdate(table.version, document, era)
@@ -374,29 +382,31 @@
             self._links.send(name, update)
 
     def _send_all(self, names: Iterable[str]) -> None:
-        """Give peers everything that is known, and how far it is settled."""
+        """Send peers all targets and evacuations, and which of the entries are unsettled."""
         known = self._view.all_changes()
         unsettled = self._view.unsettled(self._reactor.seconds())
-        asked = self._evacuations.all_changes()
-        self._send_update(names, positions.ABSENT, known, asked, unsettled)
+        evacuation_changes = self._evacuations.all_changes()
+        self._send_update(names, positions.ABSENT, known, evacuation_changes, unsettled)
 
     def _send_update(
         self,
         names: Iterable[str],
         after: positions.Position,
         effective_changes: list[target_view.TargetChange],
-        asked: tuple[evacuations.EvacuationChange, ...] = (),
+        evacuation_changes: tuple[evacuations.EvacuationChange, ...] = (),
         unsettled: Sequence[target_view.Unsettled] = (),
     ) -> None:
         document = target_documents.encode(effective_changes)
-        rest = target_documents.encode_unsettled(unsettled)
+        unsettled_document = target_documents.encode_unsettled(unsettled)
         age = max(0.0, self.age)
-        update = node_frames.TargetUpdate(after, self._view.position, age, document, asked, rest)
+        update = node_frames.TargetUpdate(
+            after, self._view.position, age, document, evacuation_changes, unsettled_document
+        )
         for name in names:
             self._links.send(name, update)
 
     def _on_target_update(self, link: Any, frame: node_frames.TargetUpdate) -> None:
-        """Take in what a peer read from the store."""
+        """Apply what a peer read from the store."""
         self._store.era.learn(frame.position.era)
         is_outdated = frame.position.era < self._view.position.era
         if is_outdated or frame.after > self._view.position:
@@ -407,23 +417,23 @@
         except target_documents.TargetDocumentError as error:
             link.close(f"malformed frame: {error}")
             return
-        self._note_return()
+        self._end_outage()
         if frame.after == positions.ABSENT:
             held = self._held_until(unsettled)
             is_changed = self._replace(frame.evacuations, changes, frame.position, held)
         else:
             is_changed = self._evacuations.apply(frame.evacuations)
-            is_changed |= self._view.apply(changes, self._hold())
+            is_changed |= self._view.apply(changes, self._hold_deadline())
         is_changed |= self._view.apply_unsettled(unsettled, self._reactor.seconds())
         self._view.position = max(self._view.position, frame.position)
         self._has_targets = True
         self._fresh_at = max(self._fresh_at, self._reactor.seconds() - frame.age)
         if is_changed:
             self.on_targets()
-        self._contradict(link.hello.name, changes)
+        self._correct_peer(link.hello.name, changes)
 
     def _held_until(self, unsettled: Iterable[target_view.Unsettled]) -> dict[str, float]:
-        """Tell until when a peer keeps entries that are missing."""
+        """Return, by target, until when a peer keeps entries that are missing."""
         now = self._reactor.seconds()
         return {
             one.change.id: now + one.seconds
@@ -431,34 +441,34 @@
             if one.reason is target_view.UnsettledReason.HELD
         }
 
-    def _contradict(self, peer: str, listed: Iterable[target_view.TargetChange]) -> None:
-        """Tell a peer what had gone or was leaving of what it lists: it may have just started."""
-        known_better = self._view.corrections(listed, self._reactor.seconds())
-        if known_better:
-            self._send_update([peer], self._view.position, [], unsettled=known_better)
+    def _correct_peer(self, peer: str, listed: Iterable[target_view.TargetChange]) -> None:
+        """Correct a peer that lists targets which are gone or leaving: it may have just started."""
+        corrections = self._view.corrections(listed, self._reactor.seconds())
+        if corrections:
+            self._send_update([peer], self._view.position, [], unsettled=corrections)
 
     def _on_table_update(self, link: Any, frame: node_frames.TableUpdate) -> None:
         if (frame.version, frame.era) > (self.version, self._table_era):
-            self._take_table(frame.document, frame.era)
+            self._apply_table(frame.document, frame.era)
 
     def _on_pull(self, link: Any, frame: node_frames.TablePull) -> None:
-        """Give a peer what it lacks."""
+        """Send a peer a newer configuration; if it has none, the targets as well."""
         if self._table is not None and self.version > frame.version:
             link.send(node_frames.TableUpdate(self.version, self._document, self._table_era))
         if frame.version == 0 and self._has_targets:
             self._send_all([link.hello.name])
 
     def _on_up(self, hello: frames.Hello) -> None:
-        """Ask a peer for everything while nothing is known and the store does not answer."""
+        """Pull everything from a new peer while the directory is incomplete and the store fails."""
         if not self.is_complete and self._failures:
             self._links.send(hello.name, node_frames.TablePull(0))
 
-    def _ask_peers(self) -> None:
+    def _pull_from_any_peer(self) -> None:
         for name in list(self._links.up)[:1]:
             self._links.send(name, node_frames.TablePull(0))
 
-    def _hold(self) -> float:
-        """Tell until when missing entries prove nothing; 0 outside an outage."""
+    def _hold_deadline(self) -> float:
+        """Return until when missing entries prove nothing; 0 if there was no recent outage."""
         now = self._reactor.seconds()
         if self._outage_since is not None:
             return float(now + target_view.REMOVAL_GRACE_SECONDS)
@@ -467,25 +477,25 @@
     def _on_failure(self, error: str, is_busy: bool) -> None:
         now = self._reactor.seconds()
         if not self.is_complete:
-            self._ask_peers()
+            self._pull_from_any_peer()
         if self._outage_since is None:
             self._outage_since = now
             _log.warning("store_lost", error=error, age=round(self.age, 3))
-        pause = min(MOST_RETRY_SECONDS, RETRY_SECONDS * 2**self._failures)
+        pause = min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2**self._failures)
         if not self.is_complete and not is_busy:
-            pause = BLIND_PAUSE
+            pause = INCOMPLETE_RETRY_SECONDS
         self._failures += 1
         self._next_call = now + pause * (0.75 + self._rng.random() / 2)
 
     def _on_success(self) -> None:
         self._failures = 0
-        # The store holds no configuration: more calls would bring nothing, and whoever reads for
-        # the hall will tell of one.
+        # If the store holds no configuration, more calls would not help, and the hall's reader
+        # will send one.
         self._is_unconfigured = self._table is None
-        self._note_return()
+        self._end_outage()
 
-    def _note_return(self) -> None:
-        """Note that the store answers, here or at a peer."""
+    def _end_outage(self) -> None:
+        """End the outage, if there is one: the store has answered this instance or a peer."""
         if self._outage_since is None:
             return
         now = self._reactor.seconds()
@@ -494,8 +504,10 @@
         self._hold_until = now + target_view.REMOVAL_GRACE_SECONDS
 
 
-def _asked(rows: Iterable[store_items.Change]) -> tuple[evacuations.EvacuationChange, ...]:
-    """Pick out what the operators ask of whole halls."""
+def _evacuation_changes(
+    rows: Iterable[store_items.Change],
+) -> tuple[evacuations.EvacuationChange, ...]:
+    """Return the changes of the operators' evacuations of data halls."""
     found = []
     for row in rows:
         hall = evacuation_keys.hall_of(row.key)
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -25,17 +25,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lineworks.forwarding import request_log, tools
+    from lineworks.forwarding import front_services, request_log
 
 START_WAIT_SECONDS = 0.08
-"""Seconds that a request is held while configuration or targets are not known: after a start they
-usually come within that time, and a refusal after it is still early."""
+"""Seconds for which a request is held while the configuration or the targets are not yet known.
+After a start they usually arrive within that time, and a refusal after it is still early."""
 
 REFUSAL_WEIGHT = 0.1
-"""Weight of one request in the share of those that found no target."""
+"""Weight of one request in the moving average of requests refused for lack of a target."""
 
-MOSTLY = 0.5
-"""Share of requests without a target above which most are."""
+MOSTLY_REFUSING_SHARE = 0.5
+"""Share of requests refused for lack of a target above which the front is mostly refusing."""
 
 _Work = search.Search | single.SingleRequest
 
@@ -45,53 +45,54 @@
 
 
 class Front:
-    """Requests of callers at one instance."""
+    """Routes, starts and answers the requests that callers send to one instance."""
 
     def __init__(
         self,
-        shared: tools.Tools,
+        shared: front_services.FrontServices,
         log: request_log.RequestLog,
         revocation: access.RevocationPolicy,
     ) -> None:
-        """Start without a configuration; every request is refused as not run.
+        """Create a front without a configuration; without one, requests are refused as not run.
 
         Args:
-            shared: What the requests share.
-            log: Takes note of every request.
-            revocation: What holds for keys that were taken away while this instance heard nothing.
+            shared: Services that the requests share.
+            log: Logs and counts every request.
+            revocation: Rules for keys that may have been revoked while this instance received no
+                updates.
         """
         self._shared = shared
         self._log = log
         self._revocation = revocation
-        # Requests whose quota is being asked for, each with what refuses it as not run.
-        self._asking: dict[_Work, Callable[[], None]] = {}
+        # Requests waiting for quota, each with the function that refuses it as not run.
+        self._awaiting_quota: dict[_Work, Callable[[], None]] = {}
         self._table: routes.RouteTable | None = None
-        self._turns = routes.WeightedRoundRobin()
+        self._round_robin = routes.WeightedRoundRobin()
         self._under_way: set[_Work] = set()
         self._waiting: dict[Callable[[], None], Callable[[], None]] = {}
         self.is_complete: Callable[[], bool] = lambda: True
-        """Says whether configuration and targets are known."""
+        """Returns whether the configuration and the targets are known."""
         self.view_age: Callable[[], float] = lambda: 0.0
-        """Tells the age of what is known of the targets, in seconds."""
+        """Returns the age of the data about targets, in seconds."""
         self.is_outdated: Callable[[], bool] = lambda: False
-        """Says whether a peer is known to have a newer configuration."""
-        self.on_unsure: Callable[[], None] = lambda: None
-        """Called when a newer configuration could allow what is refused."""
+        """Returns whether a peer is known to have a newer configuration."""
+        self.on_uncertain_refusal: Callable[[], None] = lambda: None
+        """Called when a request is refused that a newer configuration might allow."""
         self.ends_at: Callable[[], float] = lambda: math.inf
-        """Tells when the process ends whatever is under way, in seconds."""
+        """Returns when a stopping process answers all requests in progress, in seconds."""
         self.is_over: Callable[[], bool] = lambda: False
-        """Says whether the process itself closes its connections now."""
-        self._refused = estimators.MovingAverage(REFUSAL_WEIGHT)
+        """Returns whether the process itself is closing its connections."""
+        self._refused_share = estimators.MovingAverage(REFUSAL_WEIGHT)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is under way or held."""
-        return not self._under_way and not self._waiting and not self._asking
+        """Whether no request is in progress, held or waiting for quota."""
+        return not self._under_way and not self._waiting and not self._awaiting_quota
 
     @property
     def is_mostly_refusing(self) -> bool:
-        """Whether most requests lately found no target."""
-        return self._refused.value > MOSTLY
+        """Whether most recent requests were refused for lack of a target."""
+        return self._refused_share.value > MOSTLY_REFUSING_SHARE
 
     @property
     def table(self) -> routes.RouteTable | None:
@@ -102,32 +103,32 @@
         """Put a configuration in force for requests that arrive from now on.
 
         Args:
-            table: The configuration.
+            table: The new configuration.
         """
         self._table = table
-        self._shared.line.is_fair = table.workspaces.requires_keys
-        self._turns.forget_absent(table.routes)
+        self._shared.queue.is_fair = table.workspaces.requires_keys
+        self._round_robin.forget_absent(table.routes)
 
-    def go_on(self) -> None:
-        """Start the requests that were held, because configuration and targets are known now."""
-        for go_on in list(self._waiting):
-            go_on()
+    def resume_held(self) -> None:
+        """Start the held requests: the configuration and the targets are known now."""
+        for resume in list(self._waiting):
+            resume()
 
     def end_all(self) -> int:
-        """Answer every request with what is known of it, because the process ends.
+        """Answer every request with what is known about it, because the process exits.
 
         Returns:
-            How many there were.
+            Number of requests.
         """
-        count = len(self._under_way) + len(self._waiting) + len(self._asking)
-        for give_up in [*self._waiting.values(), *self._asking.values()]:
+        count = len(self._under_way) + len(self._waiting) + len(self._awaiting_quota)
+        for give_up in [*self._waiting.values(), *self._awaiting_quota.values()]:
             give_up()
         for work in list(self._under_way):
             work.end()
         return count
 
     def limits(self) -> server_connection.Limits:
-        """Tell what callers may send."""
+        """Return the limits for callers' connections and requests."""
         if self._table is None:
             return server_connection.Limits()
         found = self._table.limits
@@ -144,51 +145,51 @@
 
         Args:
             request: The request.
-            answer: Takes the answer, once.
+            answer: Called once, with the answer.
 
         Returns:
-            A function that cancels the request when its caller has gone, or None when it was
-            answered at once.
+            A function that cancels the request when its caller has closed the connection, or None
+            if the request was answered immediately.
         """
         table = self._table
         if table is None or not self.is_complete():
-            return self._wait_for_start(request, answer)
+            return self._hold_until_ready(request, answer)
         host = request.header(b"host")
         attempt = request.header(headers.ATTEMPT)
         if host is None or attempt is None or not request.target.startswith(b"/"):
-            self._answer_at_once(request, answer, _plain(400, verdict.Reason.INVALID))
+            self._answer_at_once(request, answer, _status_only(400, verdict.Reason.INVALID))
             return None
         path = request.target.partition(b"?")[0].decode("latin-1")
         route = table.match(host.decode("latin-1").partition(":")[0], path)
         if route is None:
-            self._answer_at_once(request, answer, _plain(404, verdict.Reason.NO_SERVICE))
+            self._answer_at_once(request, answer, _status_only(404, verdict.Reason.NO_SERVICE))
             return None
         key = headers.read_key(request.header(headers.CALLER))
         knowledge = access.ConfigurationFreshness(self.view_age(), self.is_outdated())
         found = access.judge(table, route, key, knowledge, self._revocation)
         if found.refusal is not None:
             if found.refusal.reason is verdict.Reason.KEY_UNSURE:
-                self.on_unsure()
+                self.on_uncertain_refusal()
             refused = outcome.refuse(found.refusal)
             self._finish(request, answer, table, found, attempt, "", refused)
             return None
         return self._forward(request, answer, table, found, attempt)
 
-    def _wait_for_start(
+    def _hold_until_ready(
         self,
         request: server_connection.Request,
         answer: Callable[[server_connection.Answer], None],
     ) -> Callable[[], None]:
-        """Hold a request for a moment while configuration and targets are on their way."""
+        """Hold a request briefly until the configuration and the targets are known."""
         cancel: Callable[[], None] | None = None
         is_over = False
 
-        def go_on() -> None:
+        def resume() -> None:
             nonlocal cancel, is_over
             if not is_over:
                 is_over = True
                 timer.cancel()
-                del self._waiting[go_on]
+                del self._waiting[resume]
                 cancel = self.on_request(request, answer)
 
         def give_up() -> None:
@@ -196,7 +197,7 @@
             is_over = True
             if timer.active():
                 timer.cancel()
-            del self._waiting[go_on]
+            del self._waiting[resume]
             found = verdict.not_run(verdict.Reason.NOT_READY, "no configuration or targets yet")
             self._answer_at_once(request, answer, outcome.refuse(found))
 
@@ -207,12 +208,12 @@
             elif not is_over:
                 is_over = True
                 timer.cancel()
-                del self._waiting[go_on]
+                del self._waiting[resume]
 
         is_held = mechanisms.Mechanism.START_HOLD not in self._shared.without
         hold = START_WAIT_SECONDS if is_held else 0.0
         timer = self._shared.reactor.callLater(hold, give_up)
-        self._waiting[go_on] = give_up
+        self._waiting[resume] = give_up
         return stop
 
     def _forward(
@@ -228,7 +229,7 @@
         allowed = min(route.timeout, budget if budget is not None else route.timeout)
         deadline = deadlines.for_answer(request.arrived, allowed)
         has_keys = table.workspaces.requires_keys
-        content = _content(request, accessed, has_keys)
+        content = _content_fingerprint(request, accessed, has_keys)
         finish = functools.partial(self._finish, request, answer, table, accessed, attempt, content)
         judgement = self._shared.suspects.judge(content)
         refused = self._refuse_early(route, judgement, content, attempt, deadline)
@@ -236,7 +237,7 @@
             finish(refused)
             return None
         call = target_calls.TargetCall(
-            head=_head(request, accessed, has_keys),
+            head=_request_head(request, accessed, has_keys),
             body=request.body,
             attempt=attempt,
             deadline=deadline,
@@ -252,7 +253,7 @@
             if give_back is not None and found.verdict.is_not_run:
                 give_back()
             is_refused = found.verdict.reason is verdict.Reason.NO_REPLICA
-            self._refused.record(1.0 if is_refused else 0.0)
+            self._refused_share.record(1.0 if is_refused else 0.0)
             finish(found)
 
         is_trial = judgement is suspects.Judgement.TRIAL
@@ -260,11 +261,11 @@
             self._shared.suspects, content, attempt.decode("latin-1"), is_trial
         )
         work = self._make_work(request, route, call, guard, on_end)
-        on_gone = functools.partial(self._cancel, work, request, attempt, accessed)
+        on_caller_left = functools.partial(self._cancel, work, request, attempt, accessed)
 
         def on_admission(admission: quota_keeper.Admission) -> None:
             nonlocal give_back
-            self._asking.pop(work, None)
+            self._awaiting_quota.pop(work, None)
             if admission.refusal is None:
                 give_back = admission.give_back
                 self._start(work)
@@ -273,11 +274,11 @@
 
         if workspace is None or workspace.quota is None:
             self._start(work)
-            return on_gone
+            return on_caller_left
         withdraw = self._shared.quotas.admit(workspace, on_admission, deadline)
         if withdraw is None:
-            return on_gone if work in self._under_way else None
-        return self._await_quota(work, withdraw, on_admission, on_gone)
+            return on_caller_left if work in self._under_way else None
+        return self._await_quota(work, withdraw, on_admission, on_caller_left)
 
     def _refuse_early(
         self,
@@ -287,10 +288,10 @@
         attempt: bytes,
         deadline: float,
     ) -> outcome.Outcome | None:
-        """Refuse a request for which nothing may be sent, or for which it is too late.
+        """Refuse a request that must not be sent to targets, or that can't finish in time.
 
         Returns:
-            The refusal; None where the request may go on.
+            The refusal; None if the request may proceed.
         """
         if judgement is suspects.Judgement.REFUSE:
             left = self._shared.suspects.note_refused(content, attempt.decode("latin-1"))
@@ -312,9 +313,9 @@
         guard: caution.CrashGuard,
         on_end: Callable[[outcome.Outcome], None],
     ) -> _Work:
-        """Prepare the search, or the request to one target, that a route asks for."""
+        """Create the search, or the request to one target, according to the route."""
         if not route.is_search:
-            service = self._turns.choose(route)
+            service = self._round_robin.choose(route)
             return single.SingleRequest(
                 self._shared, route, service, call, guard, request.arrived, on_end
             )
@@ -331,12 +332,12 @@
         work: _Work,
         withdraw: Callable[[], None],
         on_admission: Callable[[quota_keeper.Admission], None],
-        on_gone: Callable[[], None],
+        on_caller_left: Callable[[], None],
     ) -> Callable[[], None]:
-        """Keep a request whose quota is being asked for.
+        """Track a request that waits for quota.
 
         Returns:
-            A function that cancels it, because its caller has gone.
+            A function that cancels the request when its caller has closed the connection.
         """
 
         def give_up() -> None:
@@ -345,18 +346,18 @@
             on_admission(quota_keeper.Admission(found, outcome.SHUTDOWN_RETRY_AFTER))
 
         def stop() -> None:
-            if self._asking.pop(work, None) is not None:
+            if self._awaiting_quota.pop(work, None) is not None:
                 withdraw()
-            on_gone()
+            on_caller_left()
 
-        self._asking[work] = give_up
+        self._awaiting_quota[work] = give_up
         return stop
 
     def _has_time(self, route: routes.Route) -> bool:
-        """Say whether a request that comes now usually ends before the process does.
+        """Return whether a request that arrives now usually finishes before the process exits.
 
-        Without it a stopping process took requests until its very end and closed the connections
-        of those that it could not finish, among them unrepeatable ones that were running.
+        Without this check a stopping process accepted requests until it exited, and closed the
+        connections of those it could not finish, including non-idempotent ones that were running.
         """
         ends_at = self.ends_at()
         if math.isinf(ends_at):
@@ -377,7 +378,7 @@
         content: str,
         found: outcome.Outcome,
     ) -> None:
-        """Answer a request of a route, and note how it ended."""
+        """Answer a request that matched a route, and log its outcome."""
         self._log.on_end(
             request,
             attempt,
@@ -400,7 +401,7 @@
         self._under_way.discard(work)
         route, workspace = accessed.route, accessed.workspace
         if self.is_over():
-            # Callers did not leave: whoever looks for the cause must not be sent to them.
+            # The process closes the connection, so the log must not blame the caller.
             self._log.on_cut(request, attempt, route, work.known(), workspace)
         else:
             self._log.on_caller_gone(request, attempt, route, workspace)
@@ -417,16 +418,17 @@
         answer(found.answer)
 
 
-def _plain(status: int, reason: verdict.Reason) -> outcome.Outcome:
+def _status_only(status: int, reason: verdict.Reason) -> outcome.Outcome:
     return outcome.Outcome(server_connection.Answer(status), verdict.not_run(reason))
 
 
-def _content(
+def _content_fingerprint(
     request: server_connection.Request, accessed: access.AccessDecision, has_keys: bool
 ) -> str:
-    """Make the fingerprint of what a request asks.
+    """Compute the fingerprint of a request's content.
 
-    Where requests carry keys it goes by the workspace, so that it outlives a change of its keys.
+    If requests carry keys, it includes the workspace instead of the caller, so that it stays the
+    same when the workspace's keys change.
     """
     if has_keys:
         caller = accessed.workspace.name.encode() if accessed.workspace is not None else b""
@@ -441,13 +443,13 @@
     )
 
 
-def _head(
+def _request_head(
     request: server_connection.Request, accessed: access.AccessDecision, has_keys: bool
 ) -> bytes:
-    """Write the part of a request's head that all targets get.
+    """Encode the part of a request's head that is the same for all targets.
 
-    Where requests carry keys, none reaches a target, and whose request it is isn't for the caller
-    to say.
+    If requests carry keys, these are not forwarded, and a workspace header sent by the caller is
+    dropped.
     """
     dropped = _DROPPED_WITH_KEYS if has_keys else _DROPPED
     lines = [request.method + b" " + request.target + b" HTTP/1.1"]
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING, Any
 
 from lineworks.decisions import fair_shares, mechanisms, parts, verdict
-from lineworks.forwarding import answers, target_calls, waiting_line
+from lineworks.forwarding import answers, target_calls, wait_queue
 from lineworks.kernel import rate_limited_log
 from lineworks.platform import headers
 from lineworks.wire import node_frames
@@ -125,7 +125,7 @@
         self._book = book
         self._calls = calls
         self._jobs: dict[tuple[str, int], _Job] = {}
-        self._queue = waiting_line.WaitingLine(reactor, SLOT_POLL_SECONDS)
+        self._queue = wait_queue.WaitQueue(reactor, SLOT_POLL_SECONDS)
         self._log = rate_limited_log.RateLimitedLog(reactor, "gatherer", FAILURE_LINES_PER_SECOND)
 
     @property
@@ -195,7 +195,7 @@
 
     def _must_yield(self, job: _Job, service: str) -> bool:
         """Return whether a queued job goes before this one at a service."""
-        return job.claim is not None and self._queue.is_behind(job.claim, (service,))
+        return job.claim is not None and self._queue.has_waiter_ahead(job.claim, (service,))
 
     def _start_shard(
         self, key: tuple[str, int], job: _Job, shard: int, now: float, is_its_turn: bool = False
--- a/src/lineworks/forwarding/metrics.py
+++ b/src/lineworks/forwarding/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of one instance, with labels of bounded number.
+"""Metrics of one instance, with bounded label cardinality.
 
-Requests are counted in plain numbers here. The Prometheus library writes them out; it is imported
-when the metrics are first asked for, because it takes a tenth of the time that a process needs to
-start, and some instances are never asked.
+Requests are counted in plain numbers here. The Prometheus client library formats them; it is
+imported on the first export, because the import takes a tenth of the start-up time of a process and
+some instances are never scraped.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
     from lineworks.forwarding import outcome
 
 MAX_ROUTES = 50
-"""Routes that get a label of their own; later ones are counted as `other`."""
+"""Maximum number of routes with their own label; further ones are counted as `other`."""
 
 MAX_WORKSPACES = 100
-"""Workspaces that get a label of their own; later ones are counted as `other`."""
+"""Maximum number of workspaces with their own label; further ones are counted as `other`."""
 
 _OTHER = "other"
 
 BUCKETS = (0.01, 0.025, 0.05, 0.084, 0.111, 0.132, 0.2, 0.233, 0.4, 0.7, 1.0, 2.0, 6.0)
-"""Upper bounds of the histogram's buckets in seconds: the aims and deadlines of the users' sheets,
-and round figures between them."""
+"""Upper bounds of the histogram's buckets, in seconds: the SLOs and deadlines that the users
+require, and round values between them."""
 
 
-class _Times:
-    """How long the requests of one route, or of one workspace, took."""
+class _LatencyHistogram:
+    """Latency histogram of one route or workspace."""
 
     __slots__ = ("buckets", "total")
 
@@ -40,12 +40,12 @@
         self.total = 0.0
 
     def record(self, seconds: float) -> None:
-        """Count one request."""
+        """Add one request."""
         self.buckets[bisect.bisect_left(BUCKETS, seconds)] += 1
         self.total += seconds
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Tell, for each upper bound, how many requests took no longer."""
+        """Return the cumulative buckets: for each upper bound, the requests that took no longer."""
         bounds = [*(str(bound) for bound in BUCKETS), "+Inf"]
         rows = []
         count = 0
@@ -56,18 +56,18 @@
 
 
 class RequestMetrics:
-    """Counts and times of requests by route."""
+    """Request counts and latencies by route and by workspace."""
 
     def __init__(self) -> None:
         self._routes: set[str] = set()
-        self._times: dict[str, _Times] = {}
+        self._latencies: dict[str, _LatencyHistogram] = {}
         self._workspaces: set[str] = set()
-        self._workspace_times: dict[str, _Times] = {}
-        self._workspace_ends: collections.Counter[tuple[str, str, str]] = collections.Counter()
-        self._ends: collections.Counter[tuple[str, str, str]] = collections.Counter()
-        self._missing: collections.Counter[str] = collections.Counter()
+        self._workspace_latencies: dict[str, _LatencyHistogram] = {}
+        self._workspace_outcomes: collections.Counter[tuple[str, str, str]] = collections.Counter()
+        self._outcomes: collections.Counter[tuple[str, str, str]] = collections.Counter()
+        self._missing_shards: collections.Counter[str] = collections.Counter()
         self._over_limit: collections.Counter[str] = collections.Counter()
-        self._reads: list[Callable[[], Mapping[str, Mapping[str, float]]]] = []
+        self._gauge_sources: list[Callable[[], Mapping[str, Mapping[str, float]]]] = []
 
     def on_end(
         self,
@@ -76,35 +76,35 @@
         seconds: float,
         workspace: str | None = None,
     ) -> None:
-        """Count a request.
+        """Count a request that was answered.
 
         Args:
-            route: Its route, if one was found.
-            found: How it ended.
-            seconds: How long it took.
+            route: Its route; None if none matched.
+            found: Its outcome.
+            seconds: Its latency.
             workspace: Name of its workspace, if it has one.
         """
         status, reason = str(found.answer.status), found.verdict.reason.value
         if workspace is not None:
             self._count_workspace(workspace, status, reason, seconds)
         label = self._label(route)
-        _record(self._times, label, seconds)
-        self._ends[(label, status, reason)] += 1
+        _record(self._latencies, label, seconds)
+        self._outcomes[(label, status, reason)] += 1
         if found.covered < found.total:
-            self._missing[label] += found.total - found.covered
+            self._missing_shards[label] += found.total - found.covered
         if found.over_limit:
             self._over_limit[label] += 1
 
     def _count_workspace(
         self, workspace: str, status: str, reason: str, seconds: float | None = None
     ) -> None:
-        label = _labelled(self._workspaces, workspace, MAX_WORKSPACES)
-        self._workspace_ends[(label, status, reason)] += 1
+        label = _bounded_label(self._workspaces, workspace, MAX_WORKSPACES)
+        self._workspace_outcomes[(label, status, reason)] += 1
         if seconds is not None:
-            _record(self._workspace_times, label, seconds)
+            _record(self._workspace_latencies, label, seconds)
 
     def on_caller_gone(self, route: routes.Route, workspace: str | None = None) -> None:
-        """Count a request whose caller left.
+        """Count a request whose caller closed the connection.
 
         Args:
             route: Its route.
@@ -112,10 +112,10 @@
         """
         if workspace is not None:
             self._count_workspace(workspace, "0", "cancelled")
-        self._ends[(self._label(route), "0", "cancelled")] += 1
+        self._outcomes[(self._label(route), "0", "cancelled")] += 1
 
     def on_cut(self, route: routes.Route, workspace: str | None = None) -> None:
-        """Count a request that the end of this process cut.
+        """Count a request that was aborted because this process exited.
 
         Args:
             route: Its route.
@@ -123,18 +123,18 @@
         """
         if workspace is not None:
             self._count_workspace(workspace, "0", "cut")
-        self._ends[(self._label(route), "0", "cut")] += 1
+        self._outcomes[(self._label(route), "0", "cut")] += 1
 
     def collect_from(self, read: Callable[[], Mapping[str, Mapping[str, float]]]) -> None:
-        """Export counts that others keep.
+        """Add a source of gauges that are kept elsewhere.
 
         Args:
-            read: Tells, for each metric, values by kind.
+            read: Returns, for each metric, its values by kind.
         """
-        self._reads.append(read)
+        self._gauge_sources.append(read)
 
     def export(self) -> bytes:
-        """Write all metrics in Prometheus's text form."""
+        """Return all metrics in the Prometheus text format."""
         import prometheus_client
 
         registry = prometheus_client.CollectorRegistry()
@@ -143,20 +143,22 @@
         return text
 
     def collect(self) -> Iterable[Any]:
-        """Tell all metrics to the Prometheus library."""
+        """Yield all metric families, for the Prometheus client library."""
         from prometheus_client import core
 
-        yield _histogram(
+        yield _histogram_family(
             "lineworks_request_seconds",
             "Time from a request's first byte to its answer.",
             "route",
-            self._times,
+            self._latencies,
+        )
+        yield _outcome_family(
+            "lineworks_requests", "Requests by how they ended.", "route", self._outcomes
         )
-        yield _ends("lineworks_requests", "Requests by how they ended.", "route", self._ends)
         missing = core.CounterMetricFamily(
             "lineworks_missing_shards", "Shards that answers left out.", labels=("route",)
         )
-        for route, count in self._missing.items():
+        for route, count in self._missing_shards.items():
             missing.add_metric((route,), float(count))
         yield missing
         over_limit = core.CounterMetricFamily(
@@ -169,57 +171,59 @@
         yield over_limit
         if self._workspaces:
             yield from self._by_workspace()
-        for read in self._reads:
-            yield from _gauges(read())
+        for read in self._gauge_sources:
+            yield from _gauge_families(read())
 
     def _by_workspace(self) -> Iterable[Any]:
-        yield _ends(
+        yield _outcome_family(
             "lineworks_workspace_requests",
             "Requests of workspaces by how they ended.",
             "workspace",
-            self._workspace_ends,
+            self._workspace_outcomes,
         )
-        yield _histogram(
+        yield _histogram_family(
             "lineworks_workspace_seconds",
             "Time from a request's first byte to its answer, by workspace.",
             "workspace",
-            self._workspace_times,
+            self._workspace_latencies,
         )
 
     def describe(self) -> Iterable[Any]:
-        """Tell the Prometheus library nothing beforehand, so that it asks only on export."""
+        """Describe no metrics, so that the Prometheus client library collects only on export."""
         return ()
 
     def _label(self, route: routes.Route | None) -> str:
         if route is None:
             return "none"
-        return _labelled(self._routes, route.name, MAX_ROUTES)
+        return _bounded_label(self._routes, route.name, MAX_ROUTES)
 
 
-def _labelled(known: set[str], name: str, most: int) -> str:
-    """Choose the label of a name: the first names keep their own, later ones share one.
+def _bounded_label(known: set[str], name: str, limit: int) -> str:
+    """Return the label of a name: the first `limit` names get their own, later ones share one.
 
     Args:
-        known: Names with a label of their own, to which this one is added while there is room.
+        known: Names with their own label; this one is added unless the limit is reached.
         name: The name.
-        most: Names that get a label of their own.
+        limit: Maximum number of names with their own label.
     """
     if name not in known:
-        if len(known) >= most:
+        if len(known) >= limit:
             return _OTHER
         known.add(name)
     return name
 
 
-def _record(found: dict[str, _Times], label: str, seconds: float) -> None:
-    """Count a request's time under a label."""
+def _record(found: dict[str, _LatencyHistogram], label: str, seconds: float) -> None:
+    """Record a request's latency under a label."""
     times = found.get(label)
     if times is None:
-        times = found[label] = _Times()
+        times = found[label] = _LatencyHistogram()
     times.record(seconds)
 
 
-def _histogram(name: str, text: str, label: str, found: Mapping[str, _Times]) -> Any:
+def _histogram_family(
+    name: str, text: str, label: str, found: Mapping[str, _LatencyHistogram]
+) -> Any:
     from prometheus_client import core
 
     family = core.HistogramMetricFamily(name, text, labels=(label,))
@@ -228,7 +232,9 @@
     return family
 
 
-def _ends(name: str, text: str, label: str, found: Mapping[tuple[str, str, str], int]) -> Any:
+def _outcome_family(
+    name: str, text: str, label: str, found: Mapping[tuple[str, str, str], int]
+) -> Any:
     from prometheus_client import core
 
     family = core.CounterMetricFamily(name, text, labels=(label, "status", "reason"))
@@ -237,7 +243,7 @@
     return family
 
 
-def _gauges(found: Mapping[str, Mapping[str, float]]) -> Iterable[Any]:
+def _gauge_families(found: Mapping[str, Mapping[str, float]]) -> Iterable[Any]:
     from prometheus_client import core
 
     for name, values in found.items():
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -1,4 +1,4 @@
-"""Puts the services of one process on the users' machines together."""
+"""Assembles the services of one process that runs on the users' machines."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
     evidence_exchange,
     extra_keeper,
     front,
+    front_services,
     gatherers,
     gathering,
     metrics,
@@ -41,8 +42,7 @@
     target_book,
     target_calls,
     target_learning,
-    tools,
-    waiting_line,
+    wait_queue,
     workspace_view,
 )
 from lineworks.http1 import server_connection
@@ -58,20 +58,20 @@
     from lineworks.kernel import early_acceptor
 
 HEARTBEAT_SECONDS = 2.0
-"""Seconds between heartbeats on a link: a silent link counts as lost after twice that."""
+"""Seconds between heartbeats on a link; a link without traffic counts as lost after twice that."""
 
-BLIND_SECONDS = 3.0
-"""Age of the targets' view after which an instance that refuses most requests for lack of targets
-counts as not ready: it is cut off, and others may know better."""
+STALE_VIEW_SECONDS = 3.0
+"""Age of the data about targets, in seconds, after which an instance that refuses most requests for
+lack of targets counts as not ready: it is cut off, and others may have newer data."""
 
-MOST_NAMED = 8
-"""Targets that a log line names at most."""
+MAX_TARGETS_PER_LINE = 8
+"""Maximum number of targets that one log line lists."""
 
 _log = structlog.get_logger(component="node")
 
 
 class Node:
-    """One process: front and gatherer."""
+    """One instance: a process with a front and a gatherer."""
 
     def __init__(
         self,
@@ -80,13 +80,14 @@
         callers_port: early_acceptor.EarlyAcceptor | None = None,
         rng: random.Random | None = None,
     ) -> None:
-        """Make the process's services.
+        """Create the services of the process.
 
         Args:
             reactor: Twisted's reactor, on the steady clock.
             settings: Settings of the process.
-            callers_port: Port that callers connect to already; opened at the start if not given.
-            rng: Source of all random choices; one with a seed of its own if not given.
+            callers_port: Port that already accepts callers' connections; opened by `start` if not
+                given.
+            rng: Source of all random choices; by default one with a random seed.
         """
         self._reactor = reactor
         self._settings = settings
@@ -94,7 +95,7 @@
         self._port: Any = None
         self._rng = rng or random.Random(secrets.randbits(64))
         self._evacuated: frozenset[str] = frozenset()
-        self._counters = tools.Counters()
+        self._counters = front_services.Counters()
         self._metrics = metrics.RequestMetrics()
         self._extra = extra_attempts.ExtraAttempts(settings.allowance, reactor.seconds())
         self._links = peer_links.PeerLinks(
@@ -169,7 +170,7 @@
         self._quotas = quota_keeper.QuotaKeeper(
             reactor, settings.name, self._links, self._gatherers, self._ranks, holder
         )
-        shared = tools.Tools(
+        shared = front_services.FrontServices(
             reactor,
             settings.hall,
             self._book,
@@ -179,10 +180,12 @@
             self._keeper,
             self._suspects,
             self._quotas,
-            tools.HedgeTimes(),
+            front_services.HedgeTimes(),
             self._counters,
-            rate_limited_log.RateLimitedLog(reactor, "hedges", tools.HEDGE_LINES_PER_SECOND),
-            waiting_line.WaitingLine(reactor, search.SLOT_POLL_SECONDS, self._rng.random),
+            rate_limited_log.RateLimitedLog(
+                reactor, "hedges", front_services.HEDGE_LINES_PER_SECOND
+            ),
+            wait_queue.WaitQueue(reactor, search.SLOT_POLL_SECONDS, self._rng.random),
             without,
         )
         self._request_log = request_log.RequestLog(reactor, self._metrics)
@@ -190,7 +193,7 @@
         self._loop_delay = loop_delay.LoopDelay(reactor)
         self._started_at = reactor.seconds()
         self.lines_dropped: Callable[[], int] = lambda: 0
-        """Tells how many log lines a slow reader made the process drop."""
+        """Returns how many log lines were dropped because their reader was too slow."""
         self._callers = server_connection.Server(
             reactor,
             self._front.limits,
@@ -208,23 +211,23 @@
             self._stop_listening,
         )
         self._kernel = registry.Kernel()
-        self._connect()
+        self._connect_services()
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer should send new connections."""
+        """Whether the load balancer should send new connections."""
         if self._stop.is_begun or not self._directory.is_complete:
             return False
-        is_blind = self._directory.age > BLIND_SECONDS
-        return not (is_blind and self._front.is_mostly_refusing)
+        is_stale = self._directory.age > STALE_VIEW_SECONDS
+        return not (is_stale and self._front.is_mostly_refusing)
 
     @property
-    def known(self) -> directory.Directory:
-        """What it knows of the configuration and the targets."""
+    def directory(self) -> directory.Directory:
+        """Its copy of the configuration and the targets."""
         return self._directory
 
     def _is_closing(self) -> bool:
-        """Say whether callers should open their next connection elsewhere."""
+        """Return whether callers should open their next connection to another instance."""
         return self._stop.is_begun or (self._directory.is_complete and not self.is_ready)
 
     async def start(self) -> None:
@@ -247,23 +250,23 @@
         without = sorted(mechanism.value for mechanism in settings.without)
         _log.info("started", name=settings.name, hall=settings.hall, without=without)
 
-    def stop(self, asked_at: float | None = None) -> None:
-        """Begin a planned stop: no new connections, then the end when all work is done.
+    def stop(self, signalled_at: float | None = None) -> None:
+        """Begin a planned stop: the process exits when deregistered and all work is done.
 
         Args:
-            asked_at: When the signal came, in seconds; now when not given.
+            signalled_at: When the signal was received, in seconds; now if not given.
         """
         if self._stop.is_begun:
             return
-        self._stop.begin(self._reactor.seconds() if asked_at is None else asked_at)
+        self._stop.begin(self._reactor.seconds() if signalled_at is None else signalled_at)
         self._links.broadcast(self._heartbeat())
 
-    def _connect(self) -> None:
-        """Tie the services together."""
+    def _connect_services(self) -> None:
+        """Connect the services' callbacks, and register the services to be started."""
         self._front.is_complete = lambda: self._directory.is_complete
         self._front.view_age = lambda: self._directory.age
         self._front.is_outdated = lambda: self._directory.is_outdated
-        self._front.on_unsure = self._directory.pull_at_once
+        self._front.on_uncertain_refusal = self._directory.pull_at_once
         self._front.ends_at = lambda: self._stop.answer_by
         self._front.is_over = lambda: self._stop.is_over
         self._ranks.is_leaving = lambda: self._stop.is_begun
@@ -279,7 +282,7 @@
         links.on_up.append(lambda hello: self._count_instances())
         links.on_down.append(lambda name: self._count_instances())
         links.on_closed_by.append(self._gatherer.on_origin_lost)
-        self._metrics.collect_from(self._counts)
+        self._metrics.collect_from(self._gauges)
         self._kernel.register("loop_delay", self._loop_delay)
         self._kernel.register("store", self._store)
         self._kernel.register("target_calls", self._calls)
@@ -334,19 +337,19 @@
             _log.warning("keys_no_longer_needed", version=table.version, before=before.version)
         self._front.set_table(table)
         self._quotas.set_workspaces(table.workspaces.all, table.version)
-        self._warn_of_unknown_homes(table)
+        self._warn_about_unknown_homes(table)
         self._on_targets()
         self._links.broadcast(self._heartbeat())
 
     def _on_store_return(self) -> None:
-        """Have everything written again that the store may lack since it came back."""
+        """Rewrite everything that the store may lack since it was restored from an older copy."""
         self._directory.on_store_return()
         self._registration.on_store_return()
         self._suspects.on_store_return()
         self._links.broadcast(self._heartbeat())
 
-    def _warn_of_unknown_homes(self, table: routes.RouteTable) -> None:
-        """Say which routes and workspaces name home regions that the deployment does not have."""
+    def _warn_about_unknown_homes(self, table: routes.RouteTable) -> None:
+        """Log the routes and workspaces whose home regions do not exist in the deployment."""
         known = set(self._settings.regions.values())
         for route in table.routes:
             unknown = sorted(route.homes - known)
@@ -357,15 +360,15 @@
             if unknown:
                 _log.warning("unknown_home_regions", workspace=workspace.name, regions=unknown)
 
-    def _go_on_if_complete(self) -> None:
+    def _resume_held_requests(self) -> None:
         if self._directory.is_complete:
-            self._front.go_on()
+            self._front.resume_held()
 
     def _on_targets(self) -> None:
         table = self._front.table
         services = table.services if table is not None else {}
         evacuated = self._directory.evacuated
-        self._note_evacuated(evacuated)
+        self._update_evacuated(evacuated)
         now = self._reactor.seconds()
         change = self._book.update(self._directory.entries, services, evacuated, now)
         for state in change.gone:
@@ -381,11 +384,13 @@
         ):
             if states:
                 named = [f"{state.replica.target.service}/{state.id}" for state in states]
-                _log.info(kind, count=len(named), targets=named[:MOST_NAMED], view_age=age)
-        self._go_on_if_complete()
+                _log.info(
+                    kind, count=len(named), targets=named[:MAX_TARGETS_PER_LINE], view_age=age
+                )
+        self._resume_held_requests()
 
-    def _note_evacuated(self, halls: frozenset[str]) -> None:
-        """Say which halls get no new work from now on, and which do again."""
+    def _update_evacuated(self, halls: frozenset[str]) -> None:
+        """Record the evacuated halls, and log which were added and removed."""
         age = round(self._directory.age, 3)
         for hall in sorted(halls - self._evacuated):
             is_known = hall in self._settings.regions
@@ -409,7 +414,7 @@
             self._stop.is_begun,
             self._directory.version,
             "",
-            self._seen_instances,
+            self._instance_count,
             self._store.era.value,
             self._gatherers.own_rate,
         )
@@ -424,19 +429,19 @@
         self._book.cold.note_instance_count(self._extra.instances.value(now))
 
     @property
-    def _seen_instances(self) -> int:
-        """Instances that are linked or listed, this one included; 0 while none is."""
+    def _instance_count(self) -> int:
+        """Number of instances linked or listed, including this one; 0 if there are none."""
         linked = len(self._links.up) + 1 if self._links.up else 0
-        return max(linked, self._registration.known)
+        return max(linked, self._registration.listed_count)
 
     def _count_instances(self) -> None:
         now = self._reactor.seconds()
-        self._extra.instances.note(self._seen_instances, now)
+        self._extra.instances.note(self._instance_count, now)
         self._book.cold.note_instance_count(self._extra.instances.value(now))
         names = {self._settings.name, *self._links.up, *self._registration.names}
         self._book.cold.note_instances(names, now)
 
-    def _counts(self) -> dict[str, dict[str, float]]:
+    def _gauges(self) -> dict[str, dict[str, float]]:
         now = self._reactor.seconds()
         counters = dataclasses.asdict(self._counters)
         return {
@@ -485,7 +490,7 @@
         }
 
     def _quota_refusals(self) -> dict[str, float]:
-        """Count refusals by workspace, for all reasons together."""
+        """Return the number of quota refusals by workspace, for all reasons together."""
         found: dict[str, float] = {}
         for (workspace, _), count in self._quotas.refusals.items():
             found[workspace] = found.get(workspace, 0.0) + count
@@ -493,11 +498,11 @@
 
 
 def _link_secret(settings: node_settings.NodeSettings) -> bytes:
-    """Derive what the links of one deployment share.
+    """Derive the shared secret of the links of one deployment.
 
-    The platform gives no secret; this keeps the instances of two deployments apart, no more. The
-    store's port is left out: instances that reached it through forwarders of their own, each with
-    another port, refused all links to each other.
+    The platform provides no secret, so this only keeps the instances of different deployments
+    apart. The store's port is left out: instances that connected to the store through separate
+    forwarders, each on a different port, refused all links to each other.
     """
     text = f"{settings.store.host}|{sorted(settings.regions.items())}"
     return hashlib.sha256(text.encode()).digest()
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -29,7 +29,7 @@
     from collections.abc import Callable, Iterable, Mapping
 
     from lineworks.decisions import routes
-    from lineworks.forwarding import caution, target_calls, target_state, tools
+    from lineworks.forwarding import caution, front_services, target_calls, target_state
 
 SLOT_WAIT_SHARE = 0.2
 """Share of the latency objective for which a search waits for targets with a free slot before it is
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        shared: tools.Tools,
+        shared: front_services.FrontServices,
         route: routes.Route,
         call: target_calls.TargetCall,
         crash_guard: caution.CrashGuard,
@@ -123,7 +123,7 @@
         for shard in self._shards:
             shared.extra.note_request(shard.service, now)
         self._set_timer(self._call.deadline - now, self._on_deadline)
-        if shared.line.is_behind(self._claim, self._route.shards):
+        if shared.queue.has_waiter_ahead(self._claim, self._route.shards):
             self._wait_for_slots()
         else:
             self._begin()
@@ -147,7 +147,7 @@
             self._wait_or_refuse(open_shards, now)
             return
         if not self._attempts.count:
-            shared.line.note_served(self._call.workspace)
+            shared.queue.note_served(self._call.workspace)
         if self._crash_guard.is_trial:
             self._begin_trial(chosen, now)
             return
@@ -190,26 +190,26 @@
         load on targets.
         """
         reachable = sum(1 for shard in self._shards if self._has_known_target(shard))
-        line = self._shared.line
+        queue = self._shared.queue
         is_off = mechanisms.Mechanism.ROOM_WAIT in self._shared.without
-        may_wait = not is_off and not line.is_too_late(self._claim, now)
+        may_wait = not is_off and not queue.is_too_late(self._claim, now)
         last = self._arrived + SLOT_WAIT_SHARE * self._route.slo - SLOT_POLL_SECONDS
         if may_wait and reachable >= self._needed and now < min(last, self._call.deadline):
             self._wait_for_slots()
             return
         if not self._attempts.count:
-            line.note_refused(self._call.workspace)
+            queue.note_refused(self._call.workspace)
         detail = f"{open_shards} of {len(self._shards)} shards have a target with room"
         # The target of a trial may have run the request.
         certainty = self._coverage_verdict().certainty
         found = dataclasses.replace(outcome.no_target(self._route, detail), certainty=certainty)
-        self._finish_with_error(found, line.retry_after(outcome.RETRY_AFTER))
+        self._finish_with_error(found, queue.retry_after(outcome.RETRY_AFTER))
 
     def _wait_for_slots(self) -> None:
         """Schedule another attempt to begin, in queue order if workspaces share the slots."""
-        line = self._shared.line
-        if line.is_fair:
-            self._leave_queue = line.wait(self._claim, self._route.shards, self._begin)
+        queue = self._shared.queue
+        if queue.is_fair:
+            self._leave_queue = queue.wait(self._claim, self._route.shards, self._begin)
         else:
             self._set_timer(SLOT_POLL_SECONDS, self._begin)
 
@@ -280,7 +280,7 @@
             self._attempts.send_to_local_hall(local, now, is_hedge)
 
     def _spend_retry(self, shard: search_state.Shard, now: float) -> bool:
-        return self._shared.may_spend(shard.service, now, workspace=self._call.workspace)
+        return self._shared.try_spend(shard.service, now, workspace=self._call.workspace)
 
     def _choose_target(
         self, shard: search_state.Shard, now: float
--- a/src/lineworks/forwarding/search_attempts.py
+++ b/src/lineworks/forwarding/search_attempts.py
@@ -24,7 +24,7 @@
     from collections.abc import Callable, Iterable, Sequence
 
     from lineworks.decisions import routes
-    from lineworks.forwarding import caution, tools
+    from lineworks.forwarding import caution, front_services
 
 FLUSH_MARGIN = 0.004
 """Seconds by which a gatherer's first results should arrive before hedges are chosen, and its last
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        shared: tools.Tools,
+        shared: front_services.FrontServices,
         route: routes.Route,
         call: target_calls.TargetCall,
         crash_guard: caution.CrashGuard,
@@ -215,7 +215,7 @@
             floor=b"" if without_floor else self._floor(),
             deadline=deadline,
             flush_at=now if is_hedge else self.hedge_at - round_trip - FLUSH_MARGIN,
-            is_fair=shared.line.is_fair,
+            is_fair=shared.queue.is_fair,
             workspace=self._call.workspace,
             has_quota=self._call.has_quota,
             priority=self._route.priority,
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable, Sequence
 
     from lineworks.decisions import routes
-    from lineworks.forwarding import target_state, tools
+    from lineworks.forwarding import front_services, target_state
 
 MAX_SENT_ATTEMPTS = 5
 """Maximum number of attempts per shard that reach a target. Attempts that reach none put no load on
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        shared: tools.Tools,
+        shared: front_services.FrontServices,
         route: routes.Route,
         shards: Sequence[search_state.Shard],
         received: parts.PartSet,
@@ -198,7 +198,7 @@
             shard.not_hedged = search_state.NotHedged.TOO_LATE
             return None
         reserve = extra_attempts.RESERVED_FOR_RETRIES
-        if not self._shared.may_spend(shard.service, now, reserve, self._workspace):
+        if not self._shared.try_spend(shard.service, now, reserve, self._workspace):
             shard.not_hedged = search_state.NotHedged.NO_BUDGET
             if self._shared.is_overspending(shard.service, now, self._workspace):
                 return None
