--- a/src/lineworks/programs/demo.py
+++ b/src/lineworks/programs/demo.py
@@ -180,7 +180,7 @@
         raise RuntimeError("the instances did not become ready in time")
 
     def _is_whole(self, entry: instance.Instance) -> bool:
-        view = entry.core.view
+        view = entry.query_engine.view
         services = view.config.services.values()
         return bool(services) and all(view.held_snapshots(service.name) for service in services)
 
--- a/src/lineworks/programs/entry.py
+++ b/src/lineworks/programs/entry.py
@@ -28,7 +28,7 @@
         return _common.fail(f"port {error.port} is in use")
 
     def on_signal(number: int, frame: Any) -> None:
-        reactor.callFromThread(entry.life.stop_asked)
+        reactor.callFromThread(entry.lifecycle.stop_requested)
 
     signal.signal(signal.SIGTERM, on_signal)
     signal.signal(signal.SIGINT, on_signal)
--- a/src/lineworks/services/__init__.py
+++ b/src/lineworks/services/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks that own sockets."""
+"""Services of an instance: the parts that own sockets, connections and background tasks."""
--- a/src/lineworks/services/auth.py
+++ b/src/lineworks/services/auth.py
@@ -1,8 +1,8 @@
-"""Signs and checks operators' HTTP requests with the shared secret.
+"""Signs and verifies operators' HTTP requests with the shared secret.
 
-A request carries `Lineworks-Auth: MILLISECONDS:NONCE:MAC`, the HMAC-SHA256 of time, nonce, method,
-path and body. A request is refused when its time is off by more than `MAX_SKEW` seconds or when
-its nonce was seen before.
+A request carries the header `Lineworks-Auth: MILLISECONDS:NONCE:MAC`, where MAC is the HMAC-SHA256
+of timestamp, nonce, method, path and body. A request is rejected if its timestamp differs from the
+local clock by more than `MAX_SKEW_SECONDS`, or if its nonce was used before.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 import secrets
 
 HEADER = "Lineworks-Auth"
-"""Name of the header."""
+"""Name of the HTTP header that carries the signature."""
 
-MAX_SKEW = 30.0
-"""Seconds that the clocks may differ."""
+MAX_SKEW_SECONDS = 30.0
+"""Maximum difference, in seconds, between the clocks of signer and verifier."""
 
 _NONCE_BYTES = 12
 
 
-class RefusedError(Exception):
-    """A request is not signed as it must be; the message says why."""
+class AuthenticationError(Exception):
+    """The signature of a request is missing, invalid, outdated or replayed; the message says which."""
 
 
 def sign(secret: bytes, method: str, path: str, body: bytes, wall_now: float) -> str:
@@ -30,12 +30,12 @@
     Args:
         secret: The shared secret.
         method: HTTP method.
-        path: Path with query.
-        body: The body.
-        wall_now: Seconds since the epoch.
+        path: Request path, including the query string.
+        body: Request body.
+        wall_now: Current time, in seconds since the epoch.
 
     Returns:
-        The header's value.
+        The value of the `Lineworks-Auth` header.
     """
     milliseconds = str(int(wall_now * 1000))
     nonce = secrets.token_hex(_NONCE_BYTES)
@@ -47,19 +47,19 @@
     return hmac.new(secret, text, hashlib.sha256).hexdigest()
 
 
-class Checker:
-    """Checks requests and remembers their nonces for as long as they could be replayed."""
+class SignatureVerifier:
+    """Verifies signed requests, and keeps their nonces for as long as they could be replayed."""
 
     def __init__(self, secret: bytes) -> None:
-        """Start without memories.
+        """Create a verifier that has seen no nonces.
 
         Args:
             secret: The shared secret.
         """
         self._secret = secret
-        self._seen: dict[str, float] = {}
+        self._seen_nonces: dict[str, float] = {}
 
-    def check(self, header: str | None, method: str, path: str, body: bytes, now: float) -> None:
+    def verify(self, header: str | None, method: str, path: str, body: bytes, now: float) -> None:
         """Check a request.
 
         Args:
@@ -74,19 +74,19 @@
         """
         parts = (header or "").split(":")
         if len(parts) != 3 or not parts[0].isdecimal():
-            raise RefusedError(f"the header {HEADER} is missing or malformed")
+            raise AuthenticationError(f"the header {HEADER} is missing or malformed")
         milliseconds, nonce, mac = parts
         expected = _mac(self._secret, milliseconds, nonce, method, path, body)
         if not hmac.compare_digest(expected, mac):
-            raise RefusedError("the signature is wrong")
-        if abs(now - int(milliseconds) / 1000) > MAX_SKEW:
-            raise RefusedError("the time is too far off")
-        self._forget(now)
-        if nonce in self._seen:
-            raise RefusedError("the request was seen before")
-        self._seen[nonce] = now
-
-    def _forget(self, now: float) -> None:
-        limit = now - 2 * MAX_SKEW
-        for nonce in [nonce for nonce, seen in self._seen.items() if seen < limit]:
-            del self._seen[nonce]
+            raise AuthenticationError("the signature is wrong")
+        if abs(now - int(milliseconds) / 1000) > MAX_SKEW_SECONDS:
+            raise AuthenticationError("the time is too far off")
+        self._expire_nonces(now)
+        if nonce in self._seen_nonces:
+            raise AuthenticationError("the request was seen before")
+        self._seen_nonces[nonce] = now
+
+    def _expire_nonces(self, now: float) -> None:
+        limit = now - 2 * MAX_SKEW_SECONDS
+        for nonce in [nonce for nonce, seen in self._seen_nonces.items() if seen < limit]:
+            del self._seen_nonces[nonce]
--- a/src/lineworks/services/caller_api.py
+++ b/src/lineworks/services/caller_api.py
@@ -26,7 +26,7 @@
         traces,
     )
 
-DRAIN_RETRY = 0.1
+DRAIN_RETRY_AFTER = 0.1
 """Seconds after which a caller refused by a leaving instance may ask another one."""
 
 
@@ -37,11 +37,11 @@
         self,
         reactor: Any,
         options: settings.Settings,
-        core: cluster.Cluster,
-        runner: runs.Runs,
+        query_engine: cluster.QueryEngine,
+        runner: runs.RequestRunner,
         keeper: config_keeper.ConfigKeeper,
-        life: lifecycle.Lifecycle,
-        counts: metrics.Metrics,
+        lifecycle: lifecycle.Lifecycle,
+        instance_metrics: metrics.Metrics,
         timelines: traces.Traces,
     ) -> None:
         """Make the interface; nothing listens yet.
@@ -58,14 +58,14 @@
         """
         self._reactor = reactor
         self._options = options
-        self._core = core
+        self._core = query_engine
         self._runner = runner
         self._keeper = keeper
-        self._life = life
-        self._counts = counts
+        self._life = lifecycle
+        self._instance_metrics = instance_metrics
         self._timelines = timelines
         self._port: Any = None
-        self._responding = 0
+        self._active_responses = 0
         self._app = self._routes()
 
     @property
@@ -77,12 +77,12 @@
     @property
     def is_idle(self) -> bool:
         """Whether no response is still being made."""
-        return self._responding == 0
+        return self._active_responses == 0
 
     def start(self) -> None:
         """Listen."""
-        where = self._options.caller
-        self._port = http_server.listen(self._reactor, self._app, where.host, where.port)
+        address = self._options.caller
+        self._port = http_server.listen(self._reactor, self._app, address.host, address.port)
 
     def stop(self) -> Any:
         """Stop listening."""
@@ -96,35 +96,35 @@
             ("/v1/tickets", self._tickets),
         )
         for path, handler in routes:
-            http_server.add_route(app, "POST", path, self._guarded(handler))
-        http_server.add_route(app, "GET", "/healthz", http_server.answer_health)
+            http_server.add_route(app, "POST", path, self._wrap_handler(handler))
+        http_server.add_route(app, "GET", "/healthz", http_server.handle_health)
         http_server.add_route(app, "GET", "/readyz", self._readyz)
         return app
 
-    def _guarded(self, handler: Callable[[Any], Any]) -> Callable[[Any], Any]:
+    def _wrap_handler(self, handler: Callable[[Any], Any]) -> Callable[[Any], Any]:
         """Wrap a handler: count it, refuse it while leaving, and answer bad requests."""
 
         def handle(request: Any) -> defer.Deferred[bytes]:
-            return defer.ensureDeferred(guarded(request))
+            return defer.ensureDeferred(respond(request))
 
-        async def guarded(request: Any) -> bytes:
-            self._responding += 1
+        async def respond(request: Any) -> bytes:
+            self._active_responses += 1
             try:
                 reply = await self._dispatch(handler, request)
             finally:
-                self._responding -= 1
+                self._active_responses -= 1
             return http_server.write_reply(request, reply)
 
         return handle
 
     async def _dispatch(self, handler: Callable[[Any], Any], request: Any) -> caller_http.Reply:
         if self._life.state == "draining":
-            found = verdict.not_run(verdict.Reason.LEAVING, "this instance is leaving")
+            refusal = verdict.not_run(verdict.Reason.LEAVING, "this instance is leaving")
             request.setHeader("Connection", "close")
-            return caller_http.verdict_reply(found, DRAIN_RETRY)
+            return caller_http.verdict_reply(refusal, DRAIN_RETRY_AFTER)
         if self._life.state == "starting":
-            found = verdict.not_run(verdict.Reason.NOT_READY, "no configuration yet")
-            return caller_http.verdict_reply(found, 1.0)
+            refusal = verdict.not_run(verdict.Reason.NOT_READY, "no configuration yet")
+            return caller_http.verdict_reply(refusal, 1.0)
         try:
             reply: caller_http.Reply = await handler(request)
         except caller_http.RequestError as error:
@@ -148,7 +148,7 @@
         done: defer.Deferred[requests.Answer] = defer.Deferred()
         _cancel_on_disconnect(request, self._core.front.search(search, done.callback), done)
         answer = await done
-        self._counts.observe(
+        self._instance_metrics.observe(
             body.workspace, body.caller_class, answer, self._reactor.seconds() - started
         )
         reply = caller_http.answer_reply(answer, self._keeper.age)
@@ -189,10 +189,10 @@
 ) -> None:
     """Give a query up when its caller's connection breaks."""
 
-    def gone(_: Any) -> None:
+    def on_disconnect(_: Any) -> None:
         cancel()
         if done is not None and not done.called:
             done.cancel()
 
     with contextlib.suppress(Exception):
-        request.notifyFinish().addErrback(gone)
+        request.notifyFinish().addErrback(on_disconnect)
--- a/src/lineworks/services/cluster.py
+++ b/src/lineworks/services/cluster.py
@@ -24,23 +24,23 @@
         traces,
     )
 
-DEFAULT_DELAY = 0.010
+DEFAULT_DELAY_SECONDS = 0.010
 """One-way seconds to a hall for which the settings name no delay."""
 
-OWN_HALL_DELAY = 0.0005
+SAME_HALL_DELAY_SECONDS = 0.0005
 """One-way seconds to another instance of the own hall."""
 
-REPORT_SECONDS = 1.0
+REPORT_INTERVAL_SECONDS = 1.0
 """Seconds after which a target that sent no report is asked for one."""
 
-REPORT_TICK = 0.1
+REPORT_POLL_SECONDS = 0.1
 """Seconds between looks for targets to ask."""
 
-REPORTS_PER_TICK = 5
+MAX_REPORTS_PER_POLL = 5
 """Targets asked at one look at most, so that asking costs a bounded share of the processor."""
 
 
-class Cluster:
+class QueryEngine:
     """The front and the gatherer of this instance, connected."""
 
     def __init__(
@@ -79,19 +79,19 @@
         self._delays = {hall: ms / 1000 for hall, ms in options.hall_delay_ms.items()}
         self._hall = options.hall
         self._incarnations: dict[str, str] = {}
-        self._pending: dict[str, list[messages.ShardReply]] = {}
-        self._task = task.Task("cluster", self._ask_reports)
-        self._asked: dict[str, float] = {}
-        self._is_holdings_due = False
-        self.view = views.ClusterView(options.name, options.hall, self._delay)
-        self.gatherer = gatherer.Gatherer(reactor, rng, pool, on_trace=timelines.note)
+        self._pending_replies: dict[str, list[messages.ShardReply]] = {}
+        self._task = task.Task("cluster", self._poll_reports)
+        self._report_requested_at: dict[str, float] = {}
+        self._is_broadcast_scheduled = False
+        self.view = views.ClusterView(options.name, options.hall, self._one_way_delay)
+        self.gatherer = gatherer.Gatherer(reactor, rng, pool, on_trace=timelines.record)
         self.front = front.Front(
-            options.name, reactor, rng, self, self.view, on_trace=timelines.note
+            options.name, reactor, rng, self, self.view, on_trace=timelines.record
         )
         self.gatherer.on_holdings_changed = self._on_holdings_changed
-        self._connect()
+        self._register_handlers()
 
-    def _connect(self) -> None:
+    def _register_handlers(self) -> None:
         links = self._links
         links.handle(frames.Heartbeat, self._on_heartbeat)
         links.handle(frames.Replies, self._on_replies)
@@ -126,22 +126,22 @@
         if instance != self._name:
             return self._links.send(instance, request)
         # The own gatherer is called later, so that the front is never entered again from inside.
-        self._reactor.callLater(0, self._hand_to_own, request)
+        self._reactor.callLater(0, self._deliver_locally, request)
         return True
 
-    def _hand_to_own(self, request: messages.Request) -> None:
+    def _deliver_locally(self, request: messages.Request) -> None:
         if isinstance(request, messages.SubQueries):
-            self.gatherer.on_sub_queries("", request, self._reply_to_own)
+            self.gatherer.on_sub_queries("", request, self._reply_locally)
         else:
             self.gatherer.on_cancel("", request)
 
-    def _reply_to_own(self, reply: messages.ShardReply) -> None:
+    def _reply_locally(self, reply: messages.ShardReply) -> None:
         self.front.on_reply(self._name, reply)
 
-    def _delay(self, hall: str) -> float:
+    def _one_way_delay(self, hall: str) -> float:
         if hall == self._hall:
-            return OWN_HALL_DELAY
-        return self._delays.get(hall, DEFAULT_DELAY)
+            return SAME_HALL_DELAY_SECONDS
+        return self._delays.get(hall, DEFAULT_DELAY_SECONDS)
 
     def _make_heartbeat(self) -> frames.Heartbeat:
         return frames.Heartbeat(
@@ -192,64 +192,70 @@
 
     def _reply_to_peer(self, name: str, reply: messages.ShardReply) -> None:
         """Batch the replies of one turn of the reactor into one frame."""
-        batch = self._pending.get(name)
+        batch = self._pending_replies.get(name)
         if batch is None:
-            self._pending[name] = [reply]
-            self._reactor.callLater(0, self._flush, name)
+            self._pending_replies[name] = [reply]
+            self._reactor.callLater(0, self._flush_replies, name)
         else:
             batch.append(reply)
 
-    def _flush(self, name: str) -> None:
-        batch = self._pending.pop(name, None)
+    def _flush_replies(self, name: str) -> None:
+        batch = self._pending_replies.pop(name, None)
         if batch:
             self._links.send(name, frames.Replies(tuple(batch)))
 
     def _on_config(self, config: catalog.Catalog, weights: dict[str, float]) -> None:
         self.view.set_config(config, weights)
-        self._own()
+        self._update_ownership()
 
     def _on_members(self, live: dict[str, str]) -> None:
         self.view.set_members(live)
         self.front.on_members_changed()
-        self._own()
+        self._update_ownership()
 
-    def _own(self) -> None:
+    def _update_ownership(self) -> None:
         if self._is_gatherer:
             self.gatherer.set_targets(self.view.owned_targets())
-            self._reactor.callLater(0, self._ask_some)
+            self._reactor.callLater(0, self._request_due_reports)
 
     def _on_holdings_changed(self) -> None:
         """Tell the own front at once, and all peers once in this turn of the reactor."""
         self.view.set_holdings(self._name, self.gatherer.holdings())
-        if not self._is_holdings_due:
-            self._is_holdings_due = True
-            self._reactor.callLater(0, self._spread_holdings)
+        if not self._is_broadcast_scheduled:
+            self._is_broadcast_scheduled = True
+            self._reactor.callLater(0, self._broadcast_holdings)
 
-    def _spread_holdings(self) -> None:
-        self._is_holdings_due = False
+    def _broadcast_holdings(self) -> None:
+        self._is_broadcast_scheduled = False
         self._links.broadcast(frames.Holdings(self.gatherer.holdings()))
 
-    async def _ask_reports(self) -> None:
+    async def _poll_reports(self) -> None:
         while True:
-            self._ask_some()
-            await task.sleep(self._reactor, REPORT_TICK)
+            self._request_due_reports()
+            await task.sleep(self._reactor, REPORT_POLL_SECONDS)
 
-    def _ask_some(self) -> None:
+    def _request_due_reports(self) -> None:
         """Ask targets that told nothing lately: new ones all at once, others a few at a time."""
         now = self._reactor.seconds()
         owned_replicas = list(self.gatherer.owned_replicas)
-        unknown = [
-            r for r in owned_replicas if not r.incarnation and r.target.name not in self._asked
+        unreported = [
+            r
+            for r in owned_replicas
+            if not r.incarnation and r.target.name not in self._report_requested_at
         ]
-        due = [r for r in owned_replicas if now - self._heard_or_asked(r) >= REPORT_SECONDS]
-        due.sort(key=self._heard_or_asked)
-        for replica in unknown or due[:REPORTS_PER_TICK]:
-            self._asked[replica.target.name] = now
-            asked = self._pool.ask_report(replica.target)
-            asked.addCallback(self._on_report, replica.target.name)
-
-    def _heard_or_asked(self, replica: replicas.Replica) -> float:
-        return max(replica.reported_at, self._asked.get(replica.target.name, 0.0))
+        due = [
+            r
+            for r in owned_replicas
+            if now - self._last_report_or_request(r) >= REPORT_INTERVAL_SECONDS
+        ]
+        due.sort(key=self._last_report_or_request)
+        for replica in unreported or due[:MAX_REPORTS_PER_POLL]:
+            self._report_requested_at[replica.target.name] = now
+            requested = self._pool.ask_report(replica.target)
+            requested.addCallback(self._on_report, replica.target.name)
+
+    def _last_report_or_request(self, replica: replicas.Replica) -> float:
+        return max(replica.reported_at, self._report_requested_at.get(replica.target.name, 0.0))
 
     def _on_report(self, report: Any, target: str) -> None:
         if report is not None:
--- a/src/lineworks/services/http_server.py
+++ b/src/lineworks/services/http_server.py
@@ -37,11 +37,11 @@
     if reply.retry_after is not None:
         request.setHeader("Retry-After", str(math.ceil(reply.retry_after)))
         request.setHeader("Retry-After-Ms", str(math.ceil(reply.retry_after * 1000)))
-    kind = PROBLEM_TYPE if reply.status >= 400 else JSON_TYPE
-    return write_json(request, reply.document, kind)
+    content_type = PROBLEM_TYPE if reply.status >= 400 else JSON_TYPE
+    return write_json(request, reply.document, content_type)
 
 
-def write_json(request: Any, document: Any, kind: str = JSON_TYPE) -> bytes:
+def write_json(request: Any, document: Any, content_type: str = JSON_TYPE) -> bytes:
     """Write a JSON body.
 
     Args:
@@ -52,7 +52,7 @@
     Returns:
         The body.
     """
-    request.setHeader("Content-Type", kind)
+    request.setHeader("Content-Type", content_type)
     return json.dumps(document, ensure_ascii=False).encode()
 
 
@@ -70,7 +70,7 @@
     app.route(path, methods=[method], endpoint=f"{method} {path}")(handler)
 
 
-def answer_health(request: Any) -> bytes:
+def handle_health(request: Any) -> bytes:
     """Answer that the process is alive.
 
     Args:
--- a/src/lineworks/services/instance.py
+++ b/src/lineworks/services/instance.py
@@ -31,7 +31,7 @@
     traces,
 )
 
-IDLE_POLL = 0.05
+IDLE_POLL_SECONDS = 0.05
 """Seconds between looks for work in progress while the instance is draining."""
 
 _log = structlog.get_logger(component="instance")
@@ -52,7 +52,7 @@
         self._incarnation = secrets.token_hex(6)
         self._rng = random.Random(secrets.randbits(64))
         self.kernel = registry.Kernel()
-        self.life = lifecycle.Lifecycle(self._on_draining, self._on_stopped)
+        self.lifecycle = lifecycle.Lifecycle(self._on_draining, self._on_stopped)
         self.stopped: defer.Deferred[None] = defer.Deferred()
 
     @property
@@ -66,9 +66,9 @@
         return self.kernel.get("operator_api", operator_api.OperatorApi).port
 
     @property
-    def core(self) -> cluster.Cluster:
+    def query_engine(self) -> cluster.QueryEngine:
         """The query engine with its connections."""
-        return self.kernel.get("cluster", cluster.Cluster)
+        return self.kernel.get("cluster", cluster.QueryEngine)
 
     @property
     def keeper(self) -> config_keeper.ConfigKeeper:
@@ -95,7 +95,7 @@
         _log.info("started", name=options.name, hall=options.hall, services=self.kernel.names)
 
     async def stop(self) -> None:
-        """Stop all services at once; a planned stop is `life.stop_asked`."""
+        """Stop all services at once; a planned stop is `lifecycle.stop_requested`."""
         await self.kernel.stop()
 
     def _register(self, links: peer_links.PeerLinks, peer_port: int) -> None:
@@ -108,34 +108,43 @@
                 reactor, options.platform.address, options.platform.timeout_ms / 1000
             )
         )
-        me = member.Member(
+        own_member = member.Member(
             options.name, options.hall, options.peer.host, peer_port, self._incarnation, False
         )
         seeds = [
             member.Member(seed.name, seed.hall, seed.host, seed.port, "", False)
             for seed in options.seeds
         ]
-        members = membership.Membership(reactor, self._rng, me, platform, links, seeds)
+        members = membership.Membership(reactor, self._rng, own_member, platform, links, seeds)
         store = config_store.ConfigStore(reactor, platform, self._rng)
         keeper = config_keeper.ConfigKeeper(
             reactor, self._rng, options.name, store, links, members.hall_members
         )
-        keeper.listeners.append(lambda config, weights: self.life.config_arrived())
+        keeper.listeners.append(lambda config, weights: self.lifecycle.config_applied())
         pool = target_pool.TargetPool(reactor)
         timelines = traces.Traces(reactor)
-        core = cluster.Cluster(
+        query_engine = cluster.QueryEngine(
             reactor, self._rng, options, links, pool, keeper, members, timelines, platform.era
         )
         writer = claim_writer.ClaimWriter(reactor, self._rng, platform, time.time)
         ticket_rng = random.SystemRandom()
-        runner = runs.Runs(
-            reactor, ticket_rng, options.name, self._incarnation, core, links, keeper, writer
+        runner = runs.RequestRunner(
+            reactor,
+            ticket_rng,
+            options.name,
+            self._incarnation,
+            query_engine,
+            links,
+            keeper,
+            writer,
         )
         counts = metrics.Metrics()
-        counts.collect_from(
-            lambda: metrics.engine_counts(core.front.counters, core.gatherer.counters)
+        counts.add_gauges(
+            lambda: metrics.engine_metrics(
+                query_engine.front.counters, query_engine.gatherer.counters
+            )
         )
-        counts.collect_from(lambda: _other_counts(platform, links, keeper))
+        counts.add_gauges(lambda: _service_metrics(platform, links, keeper))
         kernel.register("platform_client", platform)
         kernel.register("metrics", counts)
         kernel.register("traces", timelines)
@@ -143,14 +152,21 @@
         kernel.register("peer_links", links)
         kernel.register("membership", members)
         kernel.register("config_keeper", keeper)
-        kernel.register("cluster", core)
+        kernel.register("cluster", query_engine)
         kernel.register("claim_writer", writer)
         kernel.register("runs", runner)
         if "front" in options.roles:
             kernel.register(
                 "caller_api",
                 caller_api.CallerApi(
-                    reactor, options, core, runner, keeper, self.life, counts, timelines
+                    reactor,
+                    options,
+                    query_engine,
+                    runner,
+                    keeper,
+                    self.lifecycle,
+                    counts,
+                    timelines,
                 ),
             )
         kernel.register(
@@ -158,10 +174,10 @@
             operator_api.OperatorApi(
                 reactor,
                 options,
-                core,
+                query_engine,
                 keeper,
                 store,
-                self.life,
+                self.lifecycle,
                 counts,
                 timelines,
                 links,
@@ -171,7 +187,7 @@
 
     def _on_draining(self) -> None:
         _log.info("draining", name=self._options.name)
-        self.kernel.get("runs", runs.Runs).void_unused()
+        self.kernel.get("runs", runs.RequestRunner).void_unused()
         announcing = defer.ensureDeferred(
             self.kernel.get("membership", membership.Membership).announce_leaving()
         )
@@ -179,16 +195,16 @@
         announcing.addBoth(lambda _: self._poll_idle())
 
     def _poll_idle(self) -> None:
-        core = self.core
-        parts = [core.front.is_idle, core.gatherer.is_idle]
-        parts.append(self.kernel.get("runs", runs.Runs).is_idle)
+        query_engine = self.query_engine
+        idle_flags = [query_engine.front.is_idle, query_engine.gatherer.is_idle]
+        idle_flags.append(self.kernel.get("runs", runs.RequestRunner).is_idle)
         if "caller_api" in self.kernel.names:
-            parts.append(self.kernel.get("caller_api", caller_api.CallerApi).is_idle)
-        if all(parts):
+            idle_flags.append(self.kernel.get("caller_api", caller_api.CallerApi).is_idle)
+        if all(idle_flags):
             # One more turn lets the last responses leave their sockets.
-            self._reactor.callLater(IDLE_POLL, self.life.work_ended)
+            self._reactor.callLater(IDLE_POLL_SECONDS, self.lifecycle.work_finished)
         else:
-            self._reactor.callLater(IDLE_POLL, self._poll_idle)
+            self._reactor.callLater(IDLE_POLL_SECONDS, self._poll_idle)
 
     def _on_stopped(self) -> None:
         _log.info("stopped", name=self._options.name)
@@ -196,7 +212,7 @@
         stopping.addBoth(lambda _: self.stopped.callback(None))
 
 
-def _other_counts(
+def _service_metrics(
     platform: platform_client.PlatformClient,
     links: peer_links.PeerLinks,
     keeper: config_keeper.ConfigKeeper,
--- a/src/lineworks/services/lifecycle.py
+++ b/src/lineworks/services/lifecycle.py
@@ -14,13 +14,13 @@
 class LifecycleInputs(Protocol):
     """What happens to an instance."""
 
-    def config_arrived(self) -> None:
+    def config_applied(self) -> None:
         """A configuration is in force for the first time, or again."""
 
-    def stop_asked(self) -> None:
+    def stop_requested(self) -> None:
         """The operators or the system asked for a planned stop."""
 
-    def work_ended(self) -> None:
+    def work_finished(self) -> None:
         """No request is in progress any more."""
 
 
@@ -45,43 +45,43 @@
     draining = builder.state("draining")
     stopped = builder.state("stopped")
 
-    @starting.upon(LifecycleInputs.config_arrived).to(ready)
+    @starting.upon(LifecycleInputs.config_applied).to(ready)
     def become_ready(inputs: LifecycleInputs, core: LifecycleCore) -> None:
         core.state = "ready"
 
-    @ready.upon(LifecycleInputs.config_arrived).to(ready)
+    @ready.upon(LifecycleInputs.config_applied).to(ready)
     def stay_ready(inputs: LifecycleInputs, core: LifecycleCore) -> None:
         """Nothing changes."""
 
-    @starting.upon(LifecycleInputs.stop_asked).to(draining)
-    def leave_early(inputs: LifecycleInputs, core: LifecycleCore) -> None:
+    @starting.upon(LifecycleInputs.stop_requested).to(draining)
+    def drain_before_ready(inputs: LifecycleInputs, core: LifecycleCore) -> None:
         core.state = "draining"
         core.on_draining()
 
-    @ready.upon(LifecycleInputs.stop_asked).to(draining)
-    def leave(inputs: LifecycleInputs, core: LifecycleCore) -> None:
+    @ready.upon(LifecycleInputs.stop_requested).to(draining)
+    def drain(inputs: LifecycleInputs, core: LifecycleCore) -> None:
         core.state = "draining"
         core.on_draining()
 
-    @draining.upon(LifecycleInputs.work_ended).to(stopped)
-    def end(inputs: LifecycleInputs, core: LifecycleCore) -> None:
+    @draining.upon(LifecycleInputs.work_finished).to(stopped)
+    def stop(inputs: LifecycleInputs, core: LifecycleCore) -> None:
         core.state = "stopped"
         core.on_stopped()
 
     for state in (draining, stopped):
 
-        @state.upon(LifecycleInputs.config_arrived).to(state)
+        @state.upon(LifecycleInputs.config_applied).to(state)
         def ignore_config(inputs: LifecycleInputs, core: LifecycleCore) -> None:
             """A leaving instance stays leaving."""
 
-        @state.upon(LifecycleInputs.stop_asked).to(state)
-        def ignore_stop(inputs: LifecycleInputs, core: LifecycleCore) -> None:
+        @state.upon(LifecycleInputs.stop_requested).to(state)
+        def ignore_stop_request(inputs: LifecycleInputs, core: LifecycleCore) -> None:
             """A second signal cuts nothing off."""
 
     for state in (starting, ready, stopped):
 
-        @state.upon(LifecycleInputs.work_ended).to(state)
-        def ignore_idle(inputs: LifecycleInputs, core: LifecycleCore) -> None:
+        @state.upon(LifecycleInputs.work_finished).to(state)
+        def ignore_work_finished(inputs: LifecycleInputs, core: LifecycleCore) -> None:
             """Only a draining instance ends when it is idle."""
 
     return builder
@@ -113,14 +113,14 @@
         """Whether the balancer should send callers here."""
         return self._core.state == "ready"
 
-    def config_arrived(self) -> None:
+    def config_applied(self) -> None:
         """Note that a configuration is in force."""
-        self._inputs.config_arrived()
+        self._inputs.config_applied()
 
-    def stop_asked(self) -> None:
+    def stop_requested(self) -> None:
         """Begin to leave."""
-        self._inputs.stop_asked()
+        self._inputs.stop_requested()
 
-    def work_ended(self) -> None:
+    def work_finished(self) -> None:
         """Note that no request is in progress."""
-        self._inputs.work_ended()
+        self._inputs.work_finished()
--- a/src/lineworks/services/metrics.py
+++ b/src/lineworks/services/metrics.py
@@ -12,7 +12,7 @@
 
     from lineworks.engine import front_state, requests, sub_query
 
-MAX_LABELS = 50
+MAX_LABEL_VALUES = 50
 """Workspaces, and classes, that get a label of their own; later ones are counted as `other`."""
 
 _BUCKETS = (0.005, 0.01, 0.02, 0.035, 0.05, 0.078, 0.1, 0.15, 0.25, 0.5, 1, 2.5, 5, 10)
@@ -20,7 +20,7 @@
 
 
 class _BoundedLabel:
-    """Lets the first `MAX_LABELS` values through and calls the rest `other`."""
+    """Lets the first `MAX_LABEL_VALUES` values through and calls the rest `other`."""
 
     def __init__(self) -> None:
         self._known: set[str] = set()
@@ -28,7 +28,7 @@
     def __call__(self, value: str) -> str:
         if value in self._known:
             return value
-        if len(self._known) >= MAX_LABELS:
+        if len(self._known) >= MAX_LABEL_VALUES:
             return "other"
         self._known.add(value)
         return value
@@ -79,14 +79,14 @@
             answer: The answer.
             seconds: How long it took.
         """
-        bounded = self._class(caller_class)
-        found = answer.verdict
-        self._seconds.labels(self._workspace(workspace), bounded).observe(seconds)
-        self._verdicts.labels(bounded, found.certainty.value, found.reason.value).inc()
+        class_label = self._class(caller_class)
+        verdict = answer.verdict
+        self._seconds.labels(self._workspace(workspace), class_label).observe(seconds)
+        self._verdicts.labels(class_label, verdict.certainty.value, verdict.reason.value).inc()
         if answer.snapshot is not None:
-            self._coverage.labels(bounded).observe(answer.coverage.share)
+            self._coverage.labels(class_label).observe(answer.coverage.share)
 
-    def collect_from(self, read: Callable[[], Iterable[tuple[str, str, dict[str, float]]]]) -> None:
+    def add_gauges(self, read: Callable[[], Iterable[tuple[str, str, dict[str, float]]]]) -> None:
         """Export counts that services keep themselves.
 
         Args:
@@ -119,7 +119,7 @@
         return ()
 
 
-def engine_counts(
+def engine_metrics(
     front_counters: front_state.Counters, gatherer_counters: sub_query.Counters
 ) -> Iterable[tuple[str, str, dict[str, float]]]:
     """List the engine's counts.
--- a/src/lineworks/services/operator_api.py
+++ b/src/lineworks/services/operator_api.py
@@ -43,11 +43,11 @@
         self,
         reactor: Any,
         options: settings.Settings,
-        core: cluster.Cluster,
+        query_engine: cluster.QueryEngine,
         keeper: config_keeper.ConfigKeeper,
         store: config_store.ConfigStore,
-        life: lifecycle.Lifecycle,
-        counts: metrics.Metrics,
+        lifecycle: lifecycle.Lifecycle,
+        instance_metrics: metrics.Metrics,
         timelines: traces.Traces,
         links: peer_links.PeerLinks,
         platform: platform_client.PlatformClient,
@@ -68,15 +68,15 @@
         """
         self._reactor = reactor
         self._options = options
-        self._core = core
+        self._core = query_engine
         self._keeper = keeper
         self._store = store
-        self._life = life
-        self._counts = counts
+        self._life = lifecycle
+        self._instance_metrics = instance_metrics
         self._timelines = timelines
         self._links = links
         self._platform = platform
-        self._checker = auth.Checker(options.shared_secret())
+        self._verifier = auth.SignatureVerifier(options.shared_secret())
         self._port: Any = None
         self._app = self._routes()
 
@@ -88,8 +88,8 @@
 
     def start(self) -> None:
         """Listen."""
-        where = self._options.operator
-        self._port = http_server.listen(self._reactor, self._app, where.host, where.port)
+        address = self._options.operator
+        self._port = http_server.listen(self._reactor, self._app, address.host, address.port)
 
     def stop(self) -> Any:
         """Stop listening."""
@@ -97,35 +97,37 @@
 
     def _routes(self) -> klein.Klein:
         app = klein.Klein()
-        http_server.add_route(app, "GET", "/healthz", http_server.answer_health)
+        http_server.add_route(app, "GET", "/healthz", http_server.handle_health)
         http_server.add_route(app, "GET", "/readyz", self._readyz)
         http_server.add_route(app, "GET", "/metrics", self._metrics)
         routes: tuple[tuple[str, str, Callable[..., Any]], ...] = (
             ("GET", "/v1/status", self._status),
             ("GET", "/v1/configuration", self._configuration),
             ("POST", "/v1/changes", self._change),
-            ("GET", "/v1/changes/<change_id>", self._settle),
+            ("GET", "/v1/changes/<change_id>", self._change_outcome),
             ("POST", "/v1/explain", self._explain),
             ("GET", "/v1/traces/<query>", self._trace),
             ("POST", "/v1/drain", self._drain),
         )
         for method, path, handler in routes:
-            http_server.add_route(app, method, path, self._signed(handler))
+            http_server.add_route(app, method, path, self._require_signature(handler))
         return app
 
-    def _signed(self, handler: Callable[..., Any]) -> Callable[..., Any]:
+    def _require_signature(self, handler: Callable[..., Any]) -> Callable[..., Any]:
         """Wrap a handler so that only signed requests reach it."""
 
         def handle(request: Any, **parts: str) -> defer.Deferred[bytes]:
-            return defer.ensureDeferred(signed(request, parts))
+            return defer.ensureDeferred(respond(request, parts))
 
-        async def signed(request: Any, parts: dict[str, str]) -> bytes:
+        async def respond(request: Any, parts: dict[str, str]) -> bytes:
             body = request.content.read(MAX_CHANGE_BYTES + 1)
             path = request.uri.decode()
             method = request.method.decode()
             try:
-                self._checker.check(request.getHeader(auth.HEADER), method, path, body, time.time())
-            except auth.RefusedError as error:
+                self._verifier.verify(
+                    request.getHeader(auth.HEADER), method, path, body, time.time()
+                )
+            except auth.AuthenticationError as error:
                 _log.warning("refused", path=path, reason=str(error))
                 reply = caller_http.problem_reply(401, "Not authorised", str(error))
                 return http_server.write_reply(request, reply)
@@ -142,7 +144,7 @@
 
     def _metrics(self, request: Any) -> bytes:
         request.setHeader("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-        return self._counts.export()
+        return self._instance_metrics.export()
 
     async def _status(self, body: bytes) -> caller_http.Reply:
         del body
@@ -211,15 +213,15 @@
             return caller_http.problem_reply(400, "Bad request", f"malformed change: {error}")
         except configuration.ConfigurationError as error:
             return caller_http.problem_reply(400, "Configuration refused", str(error))
-        wanted = self._keeper.version if base is None else base
-        if not isinstance(wanted, int) or wanted < 0:
+        base_version = self._keeper.version if base is None else base
+        if not isinstance(base_version, int) or base_version < 0:
             return caller_http.problem_reply(400, "Bad request", "base: must be a version")
-        outcome = await self._store.apply(file.items(), wanted, change_id, author)
+        outcome = await self._store.apply(file.items(), base_version, change_id, author)
         if isinstance(outcome, config_store.Accepted):
             await self._refresh()
         return _change_reply(outcome, change_id)
 
-    async def _settle(self, body: bytes, change_id: str) -> caller_http.Reply:
+    async def _change_outcome(self, body: bytes, change_id: str) -> caller_http.Reply:
         del body
         return _change_reply(await self._store.settle(change_id), change_id)
 
@@ -253,7 +255,7 @@
 
     async def _drain(self, body: bytes) -> caller_http.Reply:
         del body
-        self._life.stop_asked()
+        self._life.stop_requested()
         return caller_http.Reply(200, {"state": self._life.state})
 
 
--- a/src/lineworks/services/runs.py
+++ b/src/lineworks/services/runs.py
@@ -23,7 +23,7 @@
 _KEY_PREFIX = "key:"
 
 
-class Runs:
+class RequestRunner:
     """Runs each unrepeatable request at most once."""
 
     def __init__(
@@ -32,7 +32,7 @@
         rng: random.Random,
         name: str,
         incarnation: str,
-        core: cluster.Cluster,
+        query_engine: cluster.QueryEngine,
         links: peer_links.PeerLinks,
         keeper: config_keeper.ConfigKeeper,
         writer: claim_writer.ClaimWriter,
@@ -52,16 +52,16 @@
         self._reactor = reactor
         self._name = name
         self._incarnation = incarnation
-        self._core = core
+        self._core = query_engine
         self._links = links
         self._keeper = keeper
         self._writer = writer
-        self._book: tickets.TicketRegistry[caller_http.Reply] = tickets.TicketRegistry(
+        self._ticket_registry: tickets.TicketRegistry[caller_http.Reply] = tickets.TicketRegistry(
             name, incarnation, rng
         )
-        self._waiting: dict[str, list[defer.Deferred[caller_http.Reply]]] = {}
-        self._relayed: dict[int, tuple[str, defer.Deferred[caller_http.Reply]]] = {}
-        self._numbers = 0
+        self._waiters: dict[str, list[defer.Deferred[caller_http.Reply]]] = {}
+        self._pending_relays: dict[int, tuple[str, defer.Deferred[caller_http.Reply]]] = {}
+        self._last_relay_number = 0
         self._outcomes: dict[str, caller_http.Reply] = {}
         self._in_progress = 0
         links.handle(frames.Relay, self._on_relay)
@@ -78,7 +78,7 @@
 
     def stop(self) -> None:
         """Make unused tickets worthless."""
-        self._book.void_unused()
+        self._ticket_registry.void_unused()
 
     def void_unused(self) -> int:
         """Make unused tickets worthless, because this instance is leaving.
@@ -86,7 +86,7 @@
         Returns:
             How many there were.
         """
-        return self._book.void_unused()
+        return self._ticket_registry.void_unused()
 
     def issue(self, body: caller_http.TicketsBody) -> list[str]:
         """Issue tickets.
@@ -99,13 +99,13 @@
         """
         now = self._reactor.seconds()
         lifetime = body.lifetime_ms / 1000
-        return [str(self._book.issue(now, lifetime)) for _ in range(body.count)]
+        return [str(self._ticket_registry.issue(now, lifetime)) for _ in range(body.count)]
 
     async def run(
         self,
         body: caller_http.RunBody,
         key: str | None,
-        set_cancel: Callable[[Callable[[], None]], None] | None = None,
+        register_cancel: Callable[[Callable[[], None]], None] | None = None,
     ) -> caller_http.Reply:
         """Run a caller's request.
 
@@ -125,10 +125,10 @@
                     400, "Bad request", "ticket: give either a ticket or an Idempotency-Key"
                 )
             if body.ticket is not None:
-                return await self._run_ticket(body, body.ticket, deadline)
+                return await self._run_with_ticket(body, body.ticket, deadline)
             if key is not None:
-                return await self._run_key(body, key, deadline)
-            return await self._run_once(body, deadline, set_cancel)
+                return await self._run_with_key(body, key, deadline)
+            return await self._run_once(body, deadline, register_cancel)
         finally:
             self._in_progress -= 1
 
@@ -136,7 +136,7 @@
         self,
         body: caller_http.RunBody,
         deadline: float,
-        set_cancel: Callable[[Callable[[], None]], None] | None = None,
+        register_cancel: Callable[[Callable[[], None]], None] | None = None,
     ) -> caller_http.Reply:
         request = requests.RunRequest(
             body.service,
@@ -148,11 +148,11 @@
         )
         done: defer.Deferred[requests.Answer] = defer.Deferred()
         cancel = self._core.front.run(request, done.callback)
-        if set_cancel is not None:
-            set_cancel(cancel)
+        if register_cancel is not None:
+            register_cancel(cancel)
         return caller_http.answer_reply(await done, self._keeper.age)
 
-    async def _run_ticket(
+    async def _run_with_ticket(
         self, body: caller_http.RunBody, text: str, deadline: float
     ) -> caller_http.Reply:
         try:
@@ -160,26 +160,26 @@
         except tickets.TicketError as error:
             return caller_http.problem_reply(400, "Bad request", f"ticket: {error}")
         if ticket.instance != self._name:
-            return await self._relay(ticket, body, deadline)
+            return await self._relay_ticket(ticket, body, deadline)
         if ticket.incarnation != self._incarnation:
             detail = "the process that issued it is gone; it ran if and only if it ran before that"
             return caller_http.verdict_reply(
                 verdict.may_have_run(verdict.Reason.ISSUER_GONE, detail)
             )
-        step = self._book.redeem(text, body.fingerprint(), self._reactor.seconds())
-        if isinstance(step, verdict.Verdict):
-            return caller_http.verdict_reply(step)
-        if isinstance(step, tickets.Replay):
-            return step.outcome
-        if isinstance(step, tickets.Wait):
-            return await self._wait_for(text, deadline)
-        once = body.model_copy(update={"unrepeatable": True})
-        reply = await self._run_once(once, deadline)
-        self._book.record_outcome(text, reply)
-        self._tell_waiting(text, reply)
+        redemption = self._ticket_registry.redeem(text, body.fingerprint(), self._reactor.seconds())
+        if isinstance(redemption, verdict.Verdict):
+            return caller_http.verdict_reply(redemption)
+        if isinstance(redemption, tickets.Replay):
+            return redemption.outcome
+        if isinstance(redemption, tickets.Wait):
+            return await self._wait_for_outcome(text, deadline)
+        unrepeatable_body = body.model_copy(update={"unrepeatable": True})
+        reply = await self._run_once(unrepeatable_body, deadline)
+        self._ticket_registry.record_outcome(text, reply)
+        self._resolve_waiters(text, reply)
         return reply
 
-    async def _run_key(
+    async def _run_with_key(
         self, body: caller_http.RunBody, key: str, deadline: float
     ) -> caller_http.Reply:
         name = claims.digest(body.workspace, key)
@@ -191,104 +191,110 @@
             body.fingerprint(),
             wall_now + claims.CLAIM_TTL_SECONDS,
         )
-        found = await self._writer.claim(claim, deadline)
-        if isinstance(found, verdict.Verdict):
-            return caller_http.verdict_reply(found, retry_after=1.0)
-        if found.nonce != claim.nonce:
-            return await self._on_key_taken(found, claim, deadline)
-        label = _KEY_PREFIX + name
-        self._waiting.setdefault(label, [])
-        once = body.model_copy(update={"unrepeatable": True})
-        reply = await self._run_once(once, deadline)
-        self._outcomes[label] = reply
-        self._reactor.callLater(tickets.OUTCOME_RETENTION_SECONDS, self._outcomes.pop, label, None)
-        self._tell_waiting(label, reply)
+        result = await self._writer.claim(claim, deadline)
+        if isinstance(result, verdict.Verdict):
+            return caller_http.verdict_reply(result, retry_after=1.0)
+        if result.nonce != claim.nonce:
+            return await self._on_key_taken(result, claim, deadline)
+        request_id = _KEY_PREFIX + name
+        self._waiters.setdefault(request_id, [])
+        unrepeatable_body = body.model_copy(update={"unrepeatable": True})
+        reply = await self._run_once(unrepeatable_body, deadline)
+        self._outcomes[request_id] = reply
+        self._reactor.callLater(
+            tickets.OUTCOME_RETENTION_SECONDS, self._outcomes.pop, request_id, None
+        )
+        self._resolve_waiters(request_id, reply)
         return reply
 
     async def _on_key_taken(
-        self, first: claims.Claim, mine: claims.Claim, deadline: float
+        self, first_claim: claims.Claim, own_claim: claims.Claim, deadline: float
     ) -> caller_http.Reply:
         """Answer a request whose key was claimed before: with the first outcome if known."""
-        if first.fingerprint != mine.fingerprint:
-            found = verdict.not_run(
+        if first_claim.fingerprint != own_claim.fingerprint:
+            refusal = verdict.not_run(
                 verdict.Reason.KEY_TAKEN, "the key was used for another request"
             )
-            return caller_http.verdict_reply(found)
-        label = _KEY_PREFIX + first.key
-        if first.instance == self._name:
-            return await self._outcome_of(label, deadline)
-        return await self._ask(first.instance, label, b"{}", deadline)
-
-    async def _outcome_of(self, label: str, deadline: float) -> caller_http.Reply:
-        known = self._outcomes.get(label)
+            return caller_http.verdict_reply(refusal)
+        request_id = _KEY_PREFIX + first_claim.key
+        if first_claim.instance == self._name:
+            return await self._outcome_of(request_id, deadline)
+        return await self._relay_to(first_claim.instance, request_id, b"{}", deadline)
+
+    async def _outcome_of(self, request_id: str, deadline: float) -> caller_http.Reply:
+        known = self._outcomes.get(request_id)
         if known is not None:
             return known
-        if label in self._waiting:
-            return await self._wait_for(label, deadline)
+        if request_id in self._waiters:
+            return await self._wait_for_outcome(request_id, deadline)
         detail = "the key was claimed and its outcome is not known here"
         return caller_http.verdict_reply(verdict.may_have_run(verdict.Reason.KEY_TAKEN, detail))
 
-    async def _wait_for(self, label: str, deadline: float) -> caller_http.Reply:
+    async def _wait_for_outcome(self, request_id: str, deadline: float) -> caller_http.Reply:
         """Wait for the outcome of a request that another caller's connection started."""
         done: defer.Deferred[caller_http.Reply] = defer.Deferred()
-        self._waiting.setdefault(label, []).append(done)
-        late = caller_http.verdict_reply(
+        self._waiters.setdefault(request_id, []).append(done)
+        timeout_reply = caller_http.verdict_reply(
             verdict.may_have_run(verdict.Reason.DEADLINE, "the first request is still under way")
         )
         timer = self._reactor.callLater(
-            deadlines.remaining(deadline, self._reactor.seconds()), self._give_up, label, done, late
+            deadlines.remaining(deadline, self._reactor.seconds()),
+            self._on_wait_timeout,
+            request_id,
+            done,
+            timeout_reply,
         )
         reply = await done
         if timer.active():
             timer.cancel()
         return reply
 
-    def _give_up(
+    def _on_wait_timeout(
         self,
-        label: str,
+        request_id: str,
         done: defer.Deferred[caller_http.Reply],
-        late: caller_http.Reply,
+        timeout_reply: caller_http.Reply,
     ) -> None:
         if not done.called:
-            self._waiting.get(label, []).remove(done)
-            done.callback(late)
+            self._waiters.get(request_id, []).remove(done)
+            done.callback(timeout_reply)
 
-    def _tell_waiting(self, label: str, reply: caller_http.Reply) -> None:
-        for done in self._waiting.pop(label, []):
+    def _resolve_waiters(self, request_id: str, reply: caller_http.Reply) -> None:
+        for done in self._waiters.pop(request_id, []):
             done.callback(reply)
 
-    async def _relay(
+    async def _relay_ticket(
         self, ticket: tickets.Ticket, body: caller_http.RunBody, deadline: float
     ) -> caller_http.Reply:
         document = body.model_dump_json(by_alias=True).encode()
-        return await self._ask(ticket.instance, str(ticket), document, deadline)
+        return await self._relay_to(ticket.instance, str(ticket), document, deadline)
 
-    async def _ask(
-        self, instance: str, label: str, document: bytes, deadline: float
+    async def _relay_to(
+        self, instance: str, request_id: str, document: bytes, deadline: float
     ) -> caller_http.Reply:
         """Hand a request to the instance that alone may run it, and wait for its reply."""
-        self._numbers += 1
-        number = self._numbers
-        inner = deadlines.for_next_hop(deadline, self._core.view.delay_to(instance))
-        if not self._links.send(instance, frames.Relay(number, label, document, inner)):
+        self._last_relay_number += 1
+        number = self._last_relay_number
+        hop_deadline = deadlines.for_next_hop(deadline, self._core.view.delay_to(instance))
+        if not self._links.send(instance, frames.Relay(number, request_id, document, hop_deadline)):
             detail = f"{instance} cannot be reached from here; an earlier try may have run"
             return caller_http.verdict_reply(
                 verdict.may_have_run(verdict.Reason.ISSUER_GONE, detail)
             )
         done: defer.Deferred[caller_http.Reply] = defer.Deferred()
-        self._relayed[number] = (instance, done)
-        late = caller_http.verdict_reply(
+        self._pending_relays[number] = (instance, done)
+        timeout_reply = caller_http.verdict_reply(
             verdict.may_have_run(verdict.Reason.DEADLINE, f"{instance} did not reply in time")
         )
-        left = deadlines.remaining(deadline, self._reactor.seconds())
-        timer = self._reactor.callLater(left, self._settle_relay, number, late)
+        seconds_left = deadlines.remaining(deadline, self._reactor.seconds())
+        timer = self._reactor.callLater(seconds_left, self._complete_relay, number, timeout_reply)
         reply = await done
         if timer.active():
             timer.cancel()
         return reply
 
-    def _settle_relay(self, number: int, reply: caller_http.Reply) -> None:
-        entry = self._relayed.pop(number, None)
+    def _complete_relay(self, number: int, reply: caller_http.Reply) -> None:
+        entry = self._pending_relays.pop(number, None)
         if entry is not None:
             entry[1].callback(reply)
 
@@ -298,10 +304,10 @@
         serving = defer.ensureDeferred(self._serve_relay(frame))
         serving.addCallback(self._send_relay_reply, name, frame.number)
 
-        def refuse(failure: Any) -> None:
+        def close_link(failure: Any) -> None:
             link.close(f"malformed frame: {failure.type.__name__}")
 
-        serving.addErrback(refuse)
+        serving.addErrback(close_link)
 
     async def _serve_relay(self, frame: frames.Relay) -> caller_http.Reply:
         if frame.ticket.startswith(_KEY_PREFIX):
@@ -313,9 +319,9 @@
         try:
             ticket = tickets.parse(frame.ticket)
             if ticket.instance != self._name:
-                found = verdict.not_run(verdict.Reason.TICKET_UNKNOWN, "not issued here")
-                return caller_http.verdict_reply(found)
-            return await self._run_ticket(body, frame.ticket, frame.deadline)
+                refusal = verdict.not_run(verdict.Reason.TICKET_UNKNOWN, "not issued here")
+                return caller_http.verdict_reply(refusal)
+            return await self._run_with_ticket(body, frame.ticket, frame.deadline)
         finally:
             self._in_progress -= 1
 
@@ -324,7 +330,7 @@
         self._links.send(name, frames.RelayReply(number, document))
 
     def _on_relay_reply(self, link: peer_link.PeerLink, frame: frames.RelayReply) -> None:
-        entry = self._relayed.get(frame.number)
+        entry = self._pending_relays.get(frame.number)
         assert link.hello is not None
         if entry is None or entry[0] != link.hello.name:
             return
@@ -333,10 +339,10 @@
         except ValueError:
             link.close("malformed frame: relay reply")
             return
-        self._settle_relay(frame.number, caller_http.Reply(status, document, retry_after))
+        self._complete_relay(frame.number, caller_http.Reply(status, document, retry_after))
 
     def _on_down(self, name: str) -> None:
-        found = verdict.may_have_run(verdict.Reason.LINK_LOST, f"lost {name}")
-        for number, (instance, _) in list(self._relayed.items()):
+        link_lost = verdict.may_have_run(verdict.Reason.LINK_LOST, f"lost {name}")
+        for number, (instance, _) in list(self._pending_relays.items()):
             if instance == name:
-                self._settle_relay(number, caller_http.verdict_reply(found))
+                self._complete_relay(number, caller_http.verdict_reply(link_lost))
--- a/src/lineworks/services/traces.py
+++ b/src/lineworks/services/traces.py
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from lineworks.engine import ports
 
-KEPT_QUERIES = 2000
+MAX_QUERIES = 2000
 """Queries whose timelines are kept."""
 
-MAX_EVENTS = 4000
+MAX_EVENTS_PER_QUERY = 4000
 """Events kept for one query."""
 
 
@@ -51,7 +51,7 @@
     def stop(self) -> None:
         """Do nothing."""
 
-    def note(self, query: str, shard: str, event: str, detail: str) -> None:
+    def record(self, query: str, shard: str, event: str, detail: str) -> None:
         """Add a step.
 
         Args:
@@ -63,9 +63,9 @@
         events = self._events.get(query)
         if events is None:
             events = self._events[query] = []
-            if len(self._events) > KEPT_QUERIES:
+            if len(self._events) > MAX_QUERIES:
                 self._events.popitem(last=False)
-        if len(events) < MAX_EVENTS:
+        if len(events) < MAX_EVENTS_PER_QUERY:
             events.append(Event(self._clock.seconds(), shard, event, detail))
 
     def timeline(self, query: str) -> list[dict[str, Any]] | None:
--- a/tests/test_border.py
+++ b/tests/test_border.py
@@ -131,11 +131,11 @@
 
 
 def test_signed_requests_are_taken_once():
-    checker = auth.Checker(b"s")
+    verifier = auth.SignatureVerifier(b"s")
     header = auth.sign(b"s", "POST", "/v1/x", b"body", 100.0)
-    checker.check(header, "POST", "/v1/x", b"body", 101.0)
-    with pytest.raises(auth.RefusedError, match="seen before"):
-        checker.check(header, "POST", "/v1/x", b"body", 101.0)
+    verifier.verify(header, "POST", "/v1/x", b"body", 101.0)
+    with pytest.raises(auth.AuthenticationError, match="seen before"):
+        verifier.verify(header, "POST", "/v1/x", b"body", 101.0)
 
 
 @pytest.mark.parametrize(
@@ -144,17 +144,17 @@
         ("GET", "/v1/x", b"body", 100.0),
         ("POST", "/v1/y", b"body", 100.0),
         ("POST", "/v1/x", b"other", 100.0),
-        ("POST", "/v1/x", b"body", 100.0 + auth.MAX_SKEW + 1),
+        ("POST", "/v1/x", b"body", 100.0 + auth.MAX_SKEW_SECONDS + 1),
     ],
 )
 def test_changed_or_old_requests_are_refused(method, path, body, now):
     header = auth.sign(b"s", "POST", "/v1/x", b"body", 100.0)
-    with pytest.raises(auth.RefusedError):
-        auth.Checker(b"s").check(header, method, path, body, now)
-    with pytest.raises(auth.RefusedError):
-        auth.Checker(b"other").check(header, "POST", "/v1/x", b"body", 100.0)
-    with pytest.raises(auth.RefusedError):
-        auth.Checker(b"s").check(None, "POST", "/v1/x", b"body", 100.0)
+    with pytest.raises(auth.AuthenticationError):
+        auth.SignatureVerifier(b"s").verify(header, method, path, body, now)
+    with pytest.raises(auth.AuthenticationError):
+        auth.SignatureVerifier(b"other").verify(header, "POST", "/v1/x", b"body", 100.0)
+    with pytest.raises(auth.AuthenticationError):
+        auth.SignatureVerifier(b"s").verify(None, "POST", "/v1/x", b"body", 100.0)
 
 
 @pytest.mark.parametrize("name", ["workspace", "tenant"])
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -89,17 +89,17 @@
     life = lifecycle.Lifecycle(lambda: log.append("draining"), lambda: log.append("stopped"))
     assert life.state == "starting"
     assert not life.is_ready
-    life.work_ended()
-    life.config_arrived()
+    life.work_finished()
+    life.config_applied()
     assert life.is_ready
-    life.config_arrived()
-    life.stop_asked()
-    life.stop_asked()
-    life.config_arrived()
+    life.config_applied()
+    life.stop_requested()
+    life.stop_requested()
+    life.config_applied()
     assert life.state == "draining"
     assert not life.is_ready
-    life.work_ended()
-    life.work_ended()
+    life.work_finished()
+    life.work_finished()
     assert life.state == "stopped"
     assert log == ["draining", "stopped"]
 
@@ -107,6 +107,6 @@
 def test_lifecycle_may_stop_before_it_is_ready():
     log = []
     life = lifecycle.Lifecycle(lambda: log.append("draining"), lambda: log.append("stopped"))
-    life.stop_asked()
-    life.work_ended()
+    life.stop_requested()
+    life.work_finished()
     assert log == ["draining", "stopped"]
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -47,7 +47,7 @@
                 self.clock, random.Random(name), instance.port, self.clock.seconds
             )
             self.fronts[name] = front
-            self.runs[name] = runs.Runs(
+            self.runs[name] = runs.RequestRunner(
                 self.clock,
                 random.Random(name),
                 name,
