--- a/src/lineworks/services/auth.py
+++ b/src/lineworks/services/auth.py
@@ -21,7 +21,7 @@
 
 
 class AuthenticationError(Exception):
-    """The signature of a request is missing, invalid, outdated or replayed; the message says which."""
+    """A request's signature is missing, invalid, outdated or replayed; the message says which."""
 
 
 def sign(secret: bytes, method: str, path: str, body: bytes, wall_now: float) -> str:
@@ -60,17 +60,18 @@
         self._seen_nonces: dict[str, float] = {}
 
     def verify(self, header: str | None, method: str, path: str, body: bytes, now: float) -> None:
-        """Check a request.
+        """Verify a request, and record its nonce.
 
         Args:
-            header: The header's value, or None.
+            header: Value of the `Lineworks-Auth` header, or None if it is absent.
             method: HTTP method.
-            path: Path with query.
-            body: The body.
-            now: Seconds since the epoch.
+            path: Request path, including the query string.
+            body: Request body.
+            now: Current time, in seconds since the epoch.
 
         Raises:
-            RefusedError: The request is not to be served.
+            AuthenticationError: The signature is missing or malformed or does not match, the
+                timestamp is too far off, or the nonce was used before.
         """
         parts = (header or "").split(":")
         if len(parts) != 3 or not parts[0].isdecimal():
--- a/src/lineworks/services/http_server.py
+++ b/src/lineworks/services/http_server.py
@@ -1,4 +1,4 @@
-"""What the HTTP services share: JSON responses and listening sockets."""
+"""Helpers shared by the HTTP services: JSON responses, routes and listening sockets."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
     from lineworks.models import caller_http
 
 JSON_TYPE = "application/json"
-"""Content type of answers."""
+"""Content type of successful responses."""
 
 PROBLEM_TYPE = "application/problem+json"
-"""Content type of errors, by RFC 9457."""
+"""Content type of error responses (RFC 9457, problem details)."""
 
 
 def write_reply(request: Any, reply: caller_http.Reply) -> bytes:
-    """Write a response.
+    """Set the status and headers of a response, and encode its body.
 
     Args:
         request: The HTTP request.
-        reply: What to say.
+        reply: Status, document and optional retry delay of the response.
 
     Returns:
-        The body.
+        The encoded body.
     """
     request.setResponseCode(reply.status)
     if reply.retry_after is not None:
@@ -42,57 +42,58 @@
 
 
 def write_json(request: Any, document: Any, content_type: str = JSON_TYPE) -> bytes:
-    """Write a JSON body.
+    """Set the content type of a response, and encode its body as JSON.
 
     Args:
         request: The HTTP request.
-        document: What JSON can hold.
-        kind: Content type.
+        document: A JSON-serialisable value.
+        content_type: Value of the `Content-Type` header.
 
     Returns:
-        The body.
+        The encoded body.
     """
     request.setHeader("Content-Type", content_type)
     return json.dumps(document, ensure_ascii=False).encode()
 
 
 def add_route(app: klein.Klein, method: str, path: str, handler: Callable[..., Any]) -> None:
-    """Add a route under a name of its own.
+    """Add a route under a unique endpoint name.
 
-    Klein names routes after their functions, and wrapped handlers share a function name.
+    By default Klein names an endpoint after its function, but the wrapped handlers all have the
+    same function name.
 
     Args:
-        app: The app.
+        app: The Klein application.
         method: HTTP method.
-        path: Path, with Werkzeug's placeholders.
-        handler: Called with the request and the placeholders' values.
+        path: Path pattern, with Werkzeug placeholders.
+        handler: Called with the request, and with the placeholders' values as keyword arguments.
     """
     app.route(path, methods=[method], endpoint=f"{method} {path}")(handler)
 
 
 def handle_health(request: Any) -> bytes:
-    """Answer that the process is alive.
+    """Answer a liveness probe.
 
     Args:
         request: The HTTP request.
 
     Returns:
-        The body.
+        The encoded body.
     """
     return write_json(request, {"alive": True})
 
 
 def listen(reactor: Any, app: klein.Klein, host: str, port: int) -> Any:
-    """Serve a Klein app.
+    """Serve a Klein application on a TCP port.
 
     Args:
         reactor: Twisted's reactor.
-        app: The app.
-        host: IP address.
-        port: TCP port; 0 lets the system choose.
+        app: The Klein application.
+        host: IP address to bind.
+        port: TCP port to bind; 0 lets the operating system choose one.
 
     Returns:
-        The listening port.
+        Twisted's listening port.
 
     Raises:
         twisted.internet.error.CannotListenError: The port is in use.
@@ -105,9 +106,9 @@
     """Stop listening.
 
     Args:
-        port: The listening port, or None.
+        port: Twisted's listening port, or None if nothing listens.
 
     Returns:
-        A deferred that fires when it is closed.
+        A deferred that fires when the port is closed, or None if `port` is None.
     """
     return port.stopListening() if port is not None else None
--- a/src/lineworks/services/lifecycle.py
+++ b/src/lineworks/services/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of an instance: starting, ready, draining, stopped."""
+"""The lifecycle of an instance, as a state machine: starting, ready, draining, stopped."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 
 class LifecycleInputs(Protocol):
-    """What happens to an instance."""
+    """Inputs of the state machine."""
 
     def config_applied(self) -> None:
-        """A configuration is in force for the first time, or again."""
+        """A configuration was applied, the first one or a later one."""
 
     def stop_requested(self) -> None:
-        """The operators or the system asked for a planned stop."""
+        """An operator or the operating system requested a graceful shutdown."""
 
     def work_finished(self) -> None:
-        """No request is in progress any more."""
+        """The last request in progress has finished."""
 
 
 @dataclasses.dataclass
 class LifecycleCore:
-    """What the machine acts on."""
+    """State and callbacks that the transitions act on."""
 
     on_draining: Callable[[], None]
-    """Called once when the instance begins to leave."""
+    """Called once, when the instance begins to drain."""
 
     on_stopped: Callable[[], None]
-    """Called once when nothing is in progress after that."""
+    """Called once, when a draining instance has finished its last request."""
 
     state: str = "starting"
-    """Name of the state."""
+    """Name of the current state."""
 
 
 def _build() -> automat.TypeMachineBuilder:
@@ -51,7 +51,7 @@
 
     @ready.upon(LifecycleInputs.config_applied).to(ready)
     def stay_ready(inputs: LifecycleInputs, core: LifecycleCore) -> None:
-        """Nothing changes."""
+        """Stay ready; later configurations do not change the state."""
 
     @starting.upon(LifecycleInputs.stop_requested).to(draining)
     def drain_before_ready(inputs: LifecycleInputs, core: LifecycleCore) -> None:
@@ -72,17 +72,17 @@
 
         @state.upon(LifecycleInputs.config_applied).to(state)
         def ignore_config(inputs: LifecycleInputs, core: LifecycleCore) -> None:
-            """A leaving instance stays leaving."""
+            """Keep the state: a draining or stopped instance does not become ready again."""
 
         @state.upon(LifecycleInputs.stop_requested).to(state)
         def ignore_stop_request(inputs: LifecycleInputs, core: LifecycleCore) -> None:
-            """A second signal cuts nothing off."""
+            """Keep the state: a second stop request does not interrupt requests in progress."""
 
     for state in (starting, ready, stopped):
 
         @state.upon(LifecycleInputs.work_finished).to(state)
         def ignore_work_finished(inputs: LifecycleInputs, core: LifecycleCore) -> None:
-            """Only a draining instance ends when it is idle."""
+            """Keep the state: only a draining instance stops when it is idle."""
 
     return builder
 
@@ -91,36 +91,36 @@
 
 
 class Lifecycle:
-    """The life of one instance."""
+    """The lifecycle of an instance."""
 
     def __init__(self, on_draining: Callable[[], None], on_stopped: Callable[[], None]) -> None:
-        """Start in the state `starting`.
+        """Create a lifecycle in the state `starting`.
 
         Args:
-            on_draining: Called once when the instance begins to leave.
-            on_stopped: Called once when nothing is in progress after that.
+            on_draining: Called once, when the instance begins to drain.
+            on_stopped: Called once, when a draining instance has finished its last request.
         """
         self._core = LifecycleCore(on_draining, on_stopped)
         self._inputs = _machine(self._core)
 
     @property
     def state(self) -> str:
-        """`starting`, `ready`, `draining` or `stopped`."""
+        """Name of the current state: `starting`, `ready`, `draining` or `stopped`."""
         return self._core.state
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should route callers to this instance."""
         return self._core.state == "ready"
 
     def config_applied(self) -> None:
-        """Note that a configuration is in force."""
+        """Report that a configuration was applied."""
         self._inputs.config_applied()
 
     def stop_requested(self) -> None:
-        """Begin to leave."""
+        """Request a graceful shutdown: begin to drain."""
         self._inputs.stop_requested()
 
     def work_finished(self) -> None:
-        """Note that no request is in progress."""
+        """Report that no request is in progress; stops a draining instance."""
         self._inputs.work_finished()
--- a/src/lineworks/services/metrics.py
+++ b/src/lineworks/services/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics for Prometheus; docs/operators/metrics.md says what each means."""
+"""Prometheus metrics of an instance; docs/operators/metrics.md describes each of them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
     from lineworks.engine import front_state, requests, sub_query
 
 MAX_LABEL_VALUES = 50
-"""Workspaces, and classes, that get a label of their own; later ones are counted as `other`."""
+"""Maximum number of distinct label values, for workspaces and for caller classes each.
+
+Values beyond the limit are counted under `other`.
+"""
 
 _BUCKETS = (0.005, 0.01, 0.02, 0.035, 0.05, 0.078, 0.1, 0.15, 0.25, 0.5, 1, 2.5, 5, 10)
 _COVERAGE_BUCKETS = (0.0, 0.5, 0.8, 0.9, 0.95, 0.99, 1.0)
 
 
 class _BoundedLabel:
-    """Lets the first `MAX_LABEL_VALUES` values through and calls the rest `other`."""
+    """Passes the first `MAX_LABEL_VALUES` distinct values through, and maps the rest to `other`."""
 
     def __init__(self) -> None:
         self._known: set[str] = set()
@@ -35,7 +38,7 @@
 
 
 class Metrics:
-    """All metrics of an instance."""
+    """The metrics registry of an instance."""
 
     def __init__(self) -> None:
         self.registry = prometheus_client.CollectorRegistry()
@@ -63,21 +66,21 @@
         )
 
     def start(self) -> None:
-        """Do nothing."""
+        """Do nothing; the kernel requires this method of every service."""
 
     def stop(self) -> None:
-        """Do nothing."""
+        """Do nothing; the kernel requires this method of every service."""
 
     def observe(
         self, workspace: str, caller_class: str, answer: requests.Answer, seconds: float
     ) -> None:
-        """Count an answer.
+        """Record an answered query.
 
         Args:
-            workspace: The customer.
-            caller_class: The caller class.
+            workspace: Name of the workspace.
+            caller_class: Name of the caller class.
             answer: The answer.
-            seconds: How long it took.
+            seconds: Time from admission to the answer, in seconds.
         """
         class_label = self._class(caller_class)
         verdict = answer.verdict
@@ -87,18 +90,18 @@
             self._coverage.labels(class_label).observe(answer.coverage.share)
 
     def add_gauges(self, read: Callable[[], Iterable[tuple[str, str, dict[str, float]]]]) -> None:
-        """Export counts that services keep themselves.
+        """Export values that services hold themselves, as gauges that are read at each export.
 
         Args:
-            read: Tells, for each metric, its name, its help text, and values by label.
+            read: Returns, for each metric, its name, its help text, and its values by label.
         """
         self.registry.register(_Collector(read))
 
     def export(self) -> bytes:
-        """Write all metrics.
+        """Export all metrics.
 
         Returns:
-            Text in Prometheus's exposition format.
+            The metrics in Prometheus's text exposition format.
         """
         text: bytes = prometheus_client.generate_latest(self.registry)
         return text
@@ -122,14 +125,14 @@
 def engine_metrics(
     front_counters: front_state.Counters, gatherer_counters: sub_query.Counters
 ) -> Iterable[tuple[str, str, dict[str, float]]]:
-    """List the engine's counts.
+    """Return the metrics of the query engine.
 
     Args:
-        front_counters: Counts of the front.
-        gatherer_counters: Counts of the gatherer.
+        front_counters: Counters of the front.
+        gatherer_counters: Counters of the gatherer.
 
     Yields:
-        Name, help text and values of each metric.
+        The name, the help text, and the values by label of each metric.
     """
     yield (
         "lineworks_front_events",
--- a/src/lineworks/services/traces.py
+++ b/src/lineworks/services/traces.py
@@ -1,4 +1,4 @@
-"""Timelines of recent queries, for `?explain=1` and `lineworks-ctl trace`."""
+"""Keeps the timelines of recent queries, for `?explain=1` and `lineworks-ctl trace`."""
 
 from __future__ import annotations
 
@@ -10,55 +10,55 @@
     from lineworks.engine import ports
 
 MAX_QUERIES = 2000
-"""Queries whose timelines are kept."""
+"""Maximum number of queries whose timelines are kept; the oldest is dropped first."""
 
 MAX_EVENTS_PER_QUERY = 4000
-"""Events kept for one query."""
+"""Maximum number of events kept for a query; later ones are dropped."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One step of a query."""
+    """An event in the course of a query."""
 
     at: float
-    """When, in seconds on this process's clock."""
+    """Time of the event, in seconds on this process's clock."""
 
     shard: str
-    """The shard concerned, or empty for the whole query."""
+    """Name of the shard, or empty if the event concerns the whole query."""
 
     event: str
-    """What happened."""
+    """Name of the event."""
 
     detail: str
-    """More about it."""
+    """Additional text, in the form that operators read."""
 
 
 class Traces:
-    """Keeps the timelines of the last queries."""
+    """The timelines of the most recent queries, in memory."""
 
     def __init__(self, clock: ports.Clock) -> None:
-        """Start empty.
+        """Create an empty store of timelines.
 
         Args:
-            clock: Tells the time of events.
+            clock: Clock that timestamps the events.
         """
         self._clock = clock
         self._events: collections.OrderedDict[str, list[Event]] = collections.OrderedDict()
 
     def start(self) -> None:
-        """Do nothing."""
+        """Do nothing; the kernel requires this method of every service."""
 
     def stop(self) -> None:
-        """Do nothing."""
+        """Do nothing; the kernel requires this method of every service."""
 
     def record(self, query: str, shard: str, event: str, detail: str) -> None:
-        """Add a step.
+        """Append an event to a query's timeline.
 
         Args:
-            query: Identity of the query.
-            shard: The shard concerned, or empty.
-            event: What happened.
-            detail: More about it.
+            query: ID of the query.
+            shard: Name of the shard, or empty if the event concerns the whole query.
+            event: Name of the event.
+            detail: Additional text.
         """
         events = self._events.get(query)
         if events is None:
@@ -69,13 +69,14 @@
             events.append(Event(self._clock.seconds(), shard, event, detail))
 
     def timeline(self, query: str) -> list[dict[str, Any]] | None:
-        """Write a query's timeline.
+        """Return a query's timeline.
 
         Args:
-            query: Identity of the query.
+            query: ID of the query.
 
         Returns:
-            Events as JSON documents with `at_ms` since the first; None for an unknown query.
+            The events as JSON-compatible documents, where `at_ms` is the number of milliseconds
+            since the first event; None if no timeline of the query is kept.
         """
         events = self._events.get(query)
         if events is None:
