--- a/src/lineworks/services/caller_api.py
+++ b/src/lineworks/services/caller_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers; see docs/reference/callers.md."""
+"""The HTTP API for callers; see docs/reference/callers.md."""
 
 from __future__ import annotations
 
@@ -27,11 +27,14 @@
     )
 
 DRAIN_RETRY_AFTER = 0.1
-"""Seconds after which a caller refused by a leaving instance may ask another one."""
+"""Retry delay, in seconds, that a draining instance gives to callers it refuses.
+
+A retry may reach another instance.
+"""
 
 
 class CallerApi:
-    """Serves searches and runs."""
+    """Serves searches, single requests and tickets to callers."""
 
     def __init__(
         self,
@@ -44,24 +47,24 @@
         instance_metrics: metrics.Metrics,
         timelines: traces.Traces,
     ) -> None:
-        """Make the interface; nothing listens yet.
+        """Create the API; it does not listen before `start`.
 
         Args:
             reactor: Twisted's reactor.
             options: Settings of this instance.
-            core: The query engine.
+            query_engine: The query engine.
             runner: Runs single requests.
             keeper: The configuration in force.
-            life: Says whether new work is taken.
-            counts: Takes measurements.
-            timelines: Holds the steps of queries.
+            lifecycle: Lifecycle of this instance, by which new requests are served or refused.
+            instance_metrics: Metrics of this instance.
+            timelines: Timelines of recent queries.
         """
         self._reactor = reactor
         self._options = options
-        self._core = query_engine
+        self._query_engine = query_engine
         self._runner = runner
         self._keeper = keeper
-        self._life = lifecycle
+        self._lifecycle = lifecycle
         self._instance_metrics = instance_metrics
         self._timelines = timelines
         self._port: Any = None
@@ -70,17 +73,17 @@
 
     @property
     def port(self) -> int:
-        """TCP port that callers connect to."""
+        """TCP port on which callers are served."""
         number: int = self._port.getHost().port
         return number
 
     @property
     def is_idle(self) -> bool:
-        """Whether no response is still being made."""
+        """Whether no request is in progress."""
         return self._active_responses == 0
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         address = self._options.caller
         self._port = http_server.listen(self._reactor, self._app, address.host, address.port)
 
@@ -102,7 +105,11 @@
         return app
 
     def _wrap_handler(self, handler: Callable[[Any], Any]) -> Callable[[Any], Any]:
-        """Wrap a handler: count it, refuse it while leaving, and answer bad requests."""
+        """Wrap a handler in what all requests have in common.
+
+        The wrapper counts requests in progress, refuses them while the instance starts or drains,
+        and answers malformed ones.
+        """
 
         def handle(request: Any) -> defer.Deferred[bytes]:
             return defer.ensureDeferred(respond(request))
@@ -118,11 +125,11 @@
         return handle
 
     async def _dispatch(self, handler: Callable[[Any], Any], request: Any) -> caller_http.Reply:
-        if self._life.state == "draining":
+        if self._lifecycle.state == "draining":
             refusal = verdict.not_run(verdict.Reason.LEAVING, "this instance is leaving")
             request.setHeader("Connection", "close")
             return caller_http.verdict_reply(refusal, DRAIN_RETRY_AFTER)
-        if self._life.state == "starting":
+        if self._lifecycle.state == "starting":
             refusal = verdict.not_run(verdict.Reason.NOT_READY, "no configuration yet")
             return caller_http.verdict_reply(refusal, 1.0)
         try:
@@ -146,7 +153,7 @@
             body.min_coverage,
         )
         done: defer.Deferred[requests.Answer] = defer.Deferred()
-        _cancel_on_disconnect(request, self._core.front.search(search, done.callback), done)
+        _cancel_on_disconnect(request, self._query_engine.front.search(search, done.callback), done)
         answer = await done
         self._instance_metrics.observe(
             body.workspace, body.caller_class, answer, self._reactor.seconds() - started
@@ -176,8 +183,8 @@
         return caller_http.Reply(200, {"tickets": self._runner.issue(body)})
 
     def _readyz(self, request: Any) -> bytes:
-        request.setResponseCode(200 if self._life.is_ready else 503)
-        return http_server.write_json(request, {"state": self._life.state})
+        request.setResponseCode(200 if self._lifecycle.is_ready else 503)
+        return http_server.write_json(request, {"state": self._lifecycle.state})
 
 
 def _wants_timeline(request: Any) -> bool:
@@ -187,7 +194,7 @@
 def _cancel_on_disconnect(
     request: Any, cancel: Callable[[], None], done: defer.Deferred[Any] | None
 ) -> None:
-    """Give a query up when its caller's connection breaks."""
+    """Cancel a query when its caller's connection is lost."""
 
     def on_disconnect(_: Any) -> None:
         cancel()
--- a/src/lineworks/services/cluster.py
+++ b/src/lineworks/services/cluster.py
@@ -1,4 +1,4 @@
-"""Ties the query engine to this instance's links, targets, members and configuration."""
+"""Connects the query engine to this instance's links, targets, members and configuration."""
 
 from __future__ import annotations
 
@@ -25,23 +25,26 @@
     )
 
 DEFAULT_DELAY_SECONDS = 0.010
-"""One-way seconds to a hall for which the settings name no delay."""
+"""One-way network delay, in seconds, to a hall for which the settings give no delay."""
 
 SAME_HALL_DELAY_SECONDS = 0.0005
-"""One-way seconds to another instance of the own hall."""
+"""One-way network delay, in seconds, to another instance of the same hall."""
 
 REPORT_INTERVAL_SECONDS = 1.0
-"""Seconds after which a target that sent no report is asked for one."""
+"""Seconds without a report after which a target is asked for one."""
 
 REPORT_POLL_SECONDS = 0.1
-"""Seconds between looks for targets to ask."""
+"""Seconds between checks for targets whose reports are due."""
 
 MAX_REPORTS_PER_POLL = 5
-"""Targets asked at one look at most, so that asking costs a bounded share of the processor."""
+"""Maximum number of targets with a known state that are asked for a report at each check.
+
+This bounds the share of the processor that the requests take.
+"""
 
 
 class QueryEngine:
-    """The front and the gatherer of this instance, connected."""
+    """The front and the gatherer of this instance, with their connections."""
 
     def __init__(
         self,
@@ -55,18 +58,18 @@
         timelines: traces.Traces,
         era: store_era.StoreEra,
     ) -> None:
-        """Connect the engine.
+        """Create the front and the gatherer, and connect them.
 
         Args:
             reactor: Twisted's reactor.
-            rng: Random source of the decisions.
+            rng: Random number generator for the front and the gatherer.
             options: Settings of this instance.
             links: Links to peers.
             pool: Connections to targets.
             keeper: The configuration in force.
             members: The live instances.
-            timelines: Takes the steps of queries.
-            era: Which era the platform's store is in; instances tell each other.
+            timelines: Records the events of queries.
+            era: Era of the platform's store, which instances also exchange in heartbeats.
         """
         self._reactor = reactor
         self._name = options.name
@@ -106,26 +109,27 @@
         self._members.listeners.append(self._on_members)
 
     def start(self) -> None:
-        """Begin to ask targets for their reports."""
+        """Start asking targets for their reports."""
         self._task.start()
 
     def stop(self) -> None:
-        """Stop asking."""
+        """Stop asking targets for their reports."""
         self._task.stop()
 
     def send(self, instance: str, request: messages.Request) -> bool:
-        """Carry a message to a gatherer, this instance's own or a peer's.
+        """Send a message to the gatherer of this instance or of a peer.
 
         Args:
             instance: Name of the gatherer's instance.
             request: The message.
 
         Returns:
-            False when there is no link to it.
+            Whether the message was sent; False if there is no link to the instance.
         """
         if instance != self._name:
             return self._links.send(instance, request)
-        # The own gatherer is called later, so that the front is never entered again from inside.
+        # The local gatherer is called in a later turn of the reactor, so that its replies never
+        # re-enter the front while the front is sending.
         self._reactor.callLater(0, self._deliver_locally, request)
         return True
 
@@ -191,7 +195,7 @@
         self.gatherer.on_cancel(link.hello.incarnation, frame)
 
     def _reply_to_peer(self, name: str, reply: messages.ShardReply) -> None:
-        """Batch the replies of one turn of the reactor into one frame."""
+        """Queue a reply; all replies to a peer in one turn of the reactor are sent as one frame."""
         batch = self._pending_replies.get(name)
         if batch is None:
             self._pending_replies[name] = [reply]
@@ -219,7 +223,7 @@
             self._reactor.callLater(0, self._request_due_reports)
 
     def _on_holdings_changed(self) -> None:
-        """Tell the own front at once, and all peers once in this turn of the reactor."""
+        """Update the local front at once, and all peers at most once per turn of the reactor."""
         self.view.set_holdings(self._name, self.gatherer.holdings())
         if not self._is_broadcast_scheduled:
             self._is_broadcast_scheduled = True
@@ -235,10 +239,14 @@
             await task.sleep(self._reactor, REPORT_POLL_SECONDS)
 
     def _request_due_reports(self) -> None:
-        """Ask targets that told nothing lately: new ones all at once, others a few at a time."""
+        """Ask targets whose reports are due.
+
+        New targets are all asked at once; while there are none, the others are asked in the order
+        of their last report or request, at most `MAX_REPORTS_PER_POLL` at a time.
+        """
         now = self._reactor.seconds()
         owned_replicas = list(self.gatherer.owned_replicas)
-        unreported = [
+        new_replicas = [
             r
             for r in owned_replicas
             if not r.incarnation and r.target.name not in self._report_requested_at
@@ -249,10 +257,10 @@
             if now - self._last_report_or_request(r) >= REPORT_INTERVAL_SECONDS
         ]
         due.sort(key=self._last_report_or_request)
-        for replica in unreported or due[:MAX_REPORTS_PER_POLL]:
+        for replica in new_replicas or due[:MAX_REPORTS_PER_POLL]:
             self._report_requested_at[replica.target.name] = now
-            requested = self._pool.ask_report(replica.target)
-            requested.addCallback(self._on_report, replica.target.name)
+            pending_report = self._pool.ask_report(replica.target)
+            pending_report.addCallback(self._on_report, replica.target.name)
 
     def _last_report_or_request(self, replica: replicas.Replica) -> float:
         return max(replica.reported_at, self._report_requested_at.get(replica.target.name, 0.0))
--- a/src/lineworks/services/instance.py
+++ b/src/lineworks/services/instance.py
@@ -1,4 +1,4 @@
-"""Puts the services of one instance together, by its settings."""
+"""Assembles the services of an instance from its settings."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
 )
 
 IDLE_POLL_SECONDS = 0.05
-"""Seconds between looks for work in progress while the instance is draining."""
+"""Seconds between checks for requests in progress while the instance is draining."""
 
 _log = structlog.get_logger(component="instance")
 
 
 class Instance:
-    """One instance: a kernel with all services of its roles."""
+    """An instance: a service registry with the services that its roles require."""
 
     def __init__(self, reactor: Any, options: settings_models.Settings) -> None:
-        """Make the instance; nothing listens yet.
+        """Create the instance; it opens no socket before `start`.
 
         Args:
             reactor: Twisted's reactor.
-            options: Its settings.
+            options: Settings of the instance.
         """
         self._reactor = reactor
         self._options = options
@@ -57,17 +57,17 @@
 
     @property
     def caller_port(self) -> int:
-        """TCP port that callers connect to."""
+        """TCP port on which callers are served."""
         return self.kernel.get("caller_api", caller_api.CallerApi).port
 
     @property
     def operator_port(self) -> int:
-        """TCP port that operators connect to."""
+        """TCP port on which operators are served."""
         return self.kernel.get("operator_api", operator_api.OperatorApi).port
 
     @property
     def query_engine(self) -> cluster.QueryEngine:
-        """The query engine with its connections."""
+        """The front and the gatherer, with their connections."""
         return self.kernel.get("cluster", cluster.QueryEngine)
 
     @property
@@ -95,11 +95,11 @@
         _log.info("started", name=options.name, hall=options.hall, services=self.kernel.names)
 
     async def stop(self) -> None:
-        """Stop all services at once; a planned stop is `lifecycle.stop_requested`."""
+        """Stop all services immediately; `lifecycle.stop_requested` shuts down gracefully."""
         await self.kernel.stop()
 
     def _register(self, links: peer_links.PeerLinks, peer_port: int) -> None:
-        """Make the services in the order in which they start."""
+        """Create the services, and register them in the order in which they start."""
         options = self._options
         reactor = self._reactor
         kernel = self.kernel
@@ -138,15 +138,15 @@
             keeper,
             writer,
         )
-        counts = metrics.Metrics()
-        counts.add_gauges(
+        instance_metrics = metrics.Metrics()
+        instance_metrics.add_gauges(
             lambda: metrics.engine_metrics(
                 query_engine.front.counters, query_engine.gatherer.counters
             )
         )
-        counts.add_gauges(lambda: _service_metrics(platform, links, keeper))
+        instance_metrics.add_gauges(lambda: _service_metrics(platform, links, keeper))
         kernel.register("platform_client", platform)
-        kernel.register("metrics", counts)
+        kernel.register("metrics", instance_metrics)
         kernel.register("traces", timelines)
         kernel.register("target_pool", pool)
         kernel.register("peer_links", links)
@@ -165,7 +165,7 @@
                     runner,
                     keeper,
                     self.lifecycle,
-                    counts,
+                    instance_metrics,
                     timelines,
                 ),
             )
@@ -178,7 +178,7 @@
                 keeper,
                 store,
                 self.lifecycle,
-                counts,
+                instance_metrics,
                 timelines,
                 links,
                 platform,
@@ -201,7 +201,7 @@
         if "caller_api" in self.kernel.names:
             idle_flags.append(self.kernel.get("caller_api", caller_api.CallerApi).is_idle)
         if all(idle_flags):
-            # One more turn lets the last responses leave their sockets.
+            # Waits one more interval, so that the last responses are written to their sockets.
             self._reactor.callLater(IDLE_POLL_SECONDS, self.lifecycle.work_finished)
         else:
             self._reactor.callLater(IDLE_POLL_SECONDS, self._poll_idle)
--- a/src/lineworks/services/operator_api.py
+++ b/src/lineworks/services/operator_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for operators; see docs/reference/operators.md."""
+"""The HTTP API for operators; see docs/reference/operators.md."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     )
 
 MAX_CHANGE_BYTES = 4 * 1024 * 1024
-"""Bytes that a change may have."""
+"""Maximum size, in bytes, of the body of a change or of a search to explain."""
 
 _log = structlog.get_logger(component="operator_api")
 
@@ -37,7 +37,7 @@
 
 
 class OperatorApi:
-    """Serves operators and the metrics collector."""
+    """Serves operators' requests, health and readiness probes, and metrics."""
 
     def __init__(
         self,
@@ -52,26 +52,26 @@
         links: peer_links.PeerLinks,
         platform: platform_client.PlatformClient,
     ) -> None:
-        """Make the interface; nothing listens yet.
+        """Create the API; it does not listen before `start`.
 
         Args:
             reactor: Twisted's reactor.
             options: Settings of this instance.
-            core: The query engine.
+            query_engine: The query engine.
             keeper: The configuration in force.
-            store: The configuration in the platform.
-            life: The life of this instance.
-            counts: All metrics.
-            timelines: The steps of queries.
+            store: Reads and changes the configuration that the platform stores.
+            lifecycle: Lifecycle of this instance.
+            instance_metrics: Metrics of this instance.
+            timelines: Timelines of recent queries.
             links: Links to peers.
-            platform: The platform.
+            platform: Client of the platform.
         """
         self._reactor = reactor
         self._options = options
-        self._core = query_engine
+        self._query_engine = query_engine
         self._keeper = keeper
         self._store = store
-        self._life = lifecycle
+        self._lifecycle = lifecycle
         self._instance_metrics = instance_metrics
         self._timelines = timelines
         self._links = links
@@ -82,12 +82,12 @@
 
     @property
     def port(self) -> int:
-        """TCP port that operators connect to."""
+        """TCP port on which operators are served."""
         number: int = self._port.getHost().port
         return number
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         address = self._options.operator
         self._port = http_server.listen(self._reactor, self._app, address.host, address.port)
 
@@ -114,7 +114,7 @@
         return app
 
     def _require_signature(self, handler: Callable[..., Any]) -> Callable[..., Any]:
-        """Wrap a handler so that only signed requests reach it."""
+        """Wrap a handler so that only requests with a valid signature reach it."""
 
         def handle(request: Any, **parts: str) -> defer.Deferred[bytes]:
             return defer.ensureDeferred(respond(request, parts))
@@ -136,9 +136,9 @@
         return handle
 
     def _readyz(self, request: Any) -> bytes:
-        request.setResponseCode(200 if self._life.is_ready else 503)
-        document: dict[str, Any] = {"state": self._life.state}
-        if self._life.state == "starting":
+        request.setResponseCode(200 if self._lifecycle.is_ready else 503)
+        document: dict[str, Any] = {"state": self._lifecycle.state}
+        if self._lifecycle.state == "starting":
             document["why"] = "neither the platform nor a peer has given a configuration yet"
         return http_server.write_json(request, document)
 
@@ -148,7 +148,7 @@
 
     async def _status(self, body: bytes) -> caller_http.Reply:
         del body
-        view = self._core.view
+        view = self._query_engine.view
         replicas = [
             {
                 "target": replica.target.name,
@@ -160,12 +160,12 @@
                 "leaving": replica.is_leaving,
                 "failures": replica.failures,
             }
-            for replica in self._core.gatherer.owned_replicas
+            for replica in self._query_engine.gatherer.owned_replicas
         ]
         document = {
             "name": self._options.name,
             "hall": self._options.hall,
-            "state": self._life.state,
+            "state": self._lifecycle.state,
             "configuration": {
                 "version": self._keeper.version,
                 "digest": self._keeper.digest,
@@ -226,7 +226,7 @@
         return _change_reply(await self._store.settle(change_id), change_id)
 
     async def _refresh(self) -> None:
-        """Put an accepted change in force here without waiting for the watch."""
+        """Apply an accepted change on this instance at once, without waiting for the watch."""
         try:
             await self._keeper.refresh()
         except Exception as error:
@@ -239,7 +239,7 @@
             )
         except caller_http.RequestError as error:
             return caller_http.problem_reply(400, "Bad request", str(error), field=error.field)
-        config = self._core.view.config
+        config = self._query_engine.view.config
         match = selectors.choose(config.selectors, search.selector_fields())
         labels = match.selector.group if match.selector else {"": ""}
         matched = match.selector.name if match.selector else None
@@ -255,8 +255,8 @@
 
     async def _drain(self, body: bytes) -> caller_http.Reply:
         del body
-        self._life.stop_requested()
-        return caller_http.Reply(200, {"state": self._life.state})
+        self._lifecycle.stop_requested()
+        return caller_http.Reply(200, {"state": self._lifecycle.state})
 
 
 def _change_reply(outcome: config_store.Outcome, change_id: str) -> caller_http.Reply:
--- a/src/lineworks/services/runs.py
+++ b/src/lineworks/services/runs.py
@@ -1,4 +1,9 @@
-"""Runs single requests: plain ones, ones with a ticket, and ones with an idempotency key."""
+"""Runs single requests: plain ones, ones with a ticket, and ones with an idempotency key.
+
+A request with a ticket or a key has a request ID: the ticket's text, or `key:` and the digest of
+the workspace and the key. A retry with the same ID does not run the request again: it gets the
+first outcome while that is known. A claim of a key expires after `claims.CLAIM_TTL_SECONDS`.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +29,7 @@
 
 
 class RequestRunner:
-    """Runs each unrepeatable request at most once."""
+    """Runs single requests, those with a ticket or an idempotency key at most once."""
 
     def __init__(
         self,
@@ -37,22 +42,22 @@
         keeper: config_keeper.ConfigKeeper,
         writer: claim_writer.ClaimWriter,
     ) -> None:
-        """Start with an empty ticket book.
+        """Create a runner that has issued no tickets.
 
         Args:
             reactor: Twisted's reactor.
-            rng: Source of ticket nonces.
+            rng: Random number generator for the nonces of tickets.
             name: Name of this instance.
-            incarnation: Identity of this process.
-            core: The query engine.
-            links: Links to peers, for relayed tickets.
+            incarnation: ID of this process; it changes when the instance restarts.
+            query_engine: The query engine.
+            links: Links to peers, to which requests are relayed.
             keeper: The configuration in force.
             writer: Claims idempotency keys.
         """
         self._reactor = reactor
         self._name = name
         self._incarnation = incarnation
-        self._core = query_engine
+        self._query_engine = query_engine
         self._links = links
         self._keeper = keeper
         self._writer = writer
@@ -70,21 +75,21 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is under way here."""
+        """Whether no request is in progress on this instance."""
         return self._in_progress == 0
 
     def start(self) -> None:
-        """Do nothing."""
+        """Do nothing; the kernel requires this method of every service."""
 
     def stop(self) -> None:
-        """Make unused tickets worthless."""
+        """Void the unused tickets."""
         self._ticket_registry.void_unused()
 
     def void_unused(self) -> int:
-        """Make unused tickets worthless, because this instance is leaving.
+        """Void the unused tickets, because this instance is draining.
 
         Returns:
-            How many there were.
+            The number of tickets that were voided.
         """
         return self._ticket_registry.void_unused()
 
@@ -92,10 +97,10 @@
         """Issue tickets.
 
         Args:
-            body: The caller's request.
+            body: The caller's request, with the number and the lifetime of the tickets.
 
         Returns:
-            The tickets.
+            The tickets as text.
         """
         now = self._reactor.seconds()
         lifetime = body.lifetime_ms / 1000
@@ -111,8 +116,9 @@
 
         Args:
             body: The request.
-            key: Its idempotency key, if any.
-            set_cancel: Takes a function that cancels it, where that is allowed.
+            key: The request's idempotency key, if any.
+            register_cancel: Called with a function that cancels the request. It isn't called for
+                requests with a ticket or a key, which aren't cancelled.
 
         Returns:
             The response.
@@ -147,7 +153,7 @@
             is_repeatable=not body.unrepeatable,
         )
         done: defer.Deferred[requests.Answer] = defer.Deferred()
-        cancel = self._core.front.run(request, done.callback)
+        cancel = self._query_engine.front.run(request, done.callback)
         if register_cancel is not None:
             register_cancel(cancel)
         return caller_http.answer_reply(await done, self._keeper.age)
@@ -182,10 +188,10 @@
     async def _run_with_key(
         self, body: caller_http.RunBody, key: str, deadline: float
     ) -> caller_http.Reply:
-        name = claims.digest(body.workspace, key)
+        key_digest = claims.digest(body.workspace, key)
         wall_now = time.time()
         claim = claims.Claim(
-            name,
+            key_digest,
             secrets.token_hex(8),
             self._name,
             body.fingerprint(),
@@ -196,7 +202,7 @@
             return caller_http.verdict_reply(result, retry_after=1.0)
         if result.nonce != claim.nonce:
             return await self._on_key_taken(result, claim, deadline)
-        request_id = _KEY_PREFIX + name
+        request_id = _KEY_PREFIX + key_digest
         self._waiters.setdefault(request_id, [])
         unrepeatable_body = body.model_copy(update={"unrepeatable": True})
         reply = await self._run_once(unrepeatable_body, deadline)
@@ -210,7 +216,7 @@
     async def _on_key_taken(
         self, first_claim: claims.Claim, own_claim: claims.Claim, deadline: float
     ) -> caller_http.Reply:
-        """Answer a request whose key was claimed before: with the first outcome if known."""
+        """Answer a request whose key is already claimed, by the first outcome if it is known."""
         if first_claim.fingerprint != own_claim.fingerprint:
             refusal = verdict.not_run(
                 verdict.Reason.KEY_TAKEN, "the key was used for another request"
@@ -231,7 +237,7 @@
         return caller_http.verdict_reply(verdict.may_have_run(verdict.Reason.KEY_TAKEN, detail))
 
     async def _wait_for_outcome(self, request_id: str, deadline: float) -> caller_http.Reply:
-        """Wait for the outcome of a request that another caller's connection started."""
+        """Wait until the outcome of a request that another connection started is known."""
         done: defer.Deferred[caller_http.Reply] = defer.Deferred()
         self._waiters.setdefault(request_id, []).append(done)
         timeout_reply = caller_http.verdict_reply(
@@ -272,10 +278,10 @@
     async def _relay_to(
         self, instance: str, request_id: str, document: bytes, deadline: float
     ) -> caller_http.Reply:
-        """Hand a request to the instance that alone may run it, and wait for its reply."""
+        """Relay a request to the only instance that may run it or knows its outcome."""
         self._last_relay_number += 1
         number = self._last_relay_number
-        hop_deadline = deadlines.for_next_hop(deadline, self._core.view.delay_to(instance))
+        hop_deadline = deadlines.for_next_hop(deadline, self._query_engine.view.delay_to(instance))
         if not self._links.send(instance, frames.Relay(number, request_id, document, hop_deadline)):
             detail = f"{instance} cannot be reached from here; an earlier try may have run"
             return caller_http.verdict_reply(
--- a/tests/test_border.py
+++ b/tests/test_border.py
@@ -1,4 +1,4 @@
-"""Border models: settings, configuration, caller requests and operators' signatures."""
+"""Validation of external input: settings, configuration, requests, responses and signatures."""
 
 from __future__ import annotations
 
@@ -10,7 +10,12 @@
 from lineworks.models import caller_http, configuration, settings, target_http
 from lineworks.services import auth
 
-GOOD = {"name": "a1", "hall": "h", "platform": {"url": "http://127.0.0.1:1"}, "secret": "s"}
+VALID_SETTINGS = {
+    "name": "a1",
+    "hall": "h",
+    "platform": {"url": "http://127.0.0.1:1"},
+    "secret": "s",
+}
 
 
 def load(tmp_path, document):
@@ -19,8 +24,8 @@
     return settings.load(str(path))
 
 
-def test_good_settings(tmp_path):
-    assert load(tmp_path, GOOD).roles == ("front", "gather")
+def test_valid_settings_load(tmp_path):
+    assert load(tmp_path, VALID_SETTINGS).roles == ("front", "gather")
 
 
 @pytest.mark.parametrize(
@@ -34,21 +39,21 @@
         ({"secret": None}, "exactly one"),
     ],
 )
-def test_bad_settings_name_the_key(tmp_path, change, key):
-    with pytest.raises(settings.SettingsError, match=key) as caught:
-        load(tmp_path, {**GOOD, **change})
-    assert "\n" not in str(caught.value)
+def test_invalid_settings_name_the_key(tmp_path, change, key):
+    with pytest.raises(settings.SettingsError, match=key) as raised:
+        load(tmp_path, {**VALID_SETTINGS, **change})
+    assert "\n" not in str(raised.value)
 
 
-def test_unreadable_settings(tmp_path):
+def test_unreadable_settings_are_rejected(tmp_path):
     with pytest.raises(settings.SettingsError, match="not JSON"):
         load(tmp_path, "{")
     with pytest.raises(settings.SettingsError, match="No such file"):
         settings.load(str(tmp_path / "none"))
 
 
-def test_secrets_do_not_show(tmp_path):
-    found = load(tmp_path, {**GOOD, "secret": "very-secret"})
+def test_secrets_are_hidden_in_the_repr(tmp_path):
+    found = load(tmp_path, {**VALID_SETTINGS, "secret": "very-secret"})
     assert "very-secret" not in repr(found)
     assert found.shared_secret() == b"very-secret"
 
@@ -68,7 +73,7 @@
         ({"selectors": {"q": {"group": {"a": "b"}, "policy": {"min_coverage": 2}}}}, "min_cov"),
     ],
 )
-def test_bad_configuration_names_the_path(file, path):
+def test_invalid_configuration_names_the_path(file, path):
     with pytest.raises(configuration.ConfigurationError, match=path):
         configuration.parse_file(json.dumps(file))
 
@@ -78,15 +83,15 @@
     return configuration.build({k: v for k, v in items.items() if v is not None}, 1, "d")
 
 
-def test_ambiguous_selectors_are_refused():
-    one = {"match": {"kind": "x"}, "group": {"a": "b"}}
-    two = {"match": {"class": "c"}, "group": {"a": "b"}}
+def test_ambiguous_selectors_are_rejected():
+    first = {"match": {"kind": "x"}, "group": {"a": "b"}}
+    second = {"match": {"class": "c"}, "group": {"a": "b"}}
     with pytest.raises(configuration.ConfigurationError, match="ambiguous"):
-        build({"selectors": {"one": one, "two": two}})
-    assert build({"selectors": {"one": one, "two": {**two, "match": {"kind": "y"}}}})
+        build({"selectors": {"one": first, "two": second}})
+    assert build({"selectors": {"one": first, "two": {**second, "match": {"kind": "y"}}}})
 
 
-def test_names_are_used_once():
+def test_a_target_name_is_unique_across_services():
     with pytest.raises(configuration.ConfigurationError, match="target 't' is also in"):
         build({"services": {"s": service(), "r": service(layouts={"base": ["y"]})}})
 
@@ -101,36 +106,36 @@
         ({"fields": {"a": 1}}, "fields.a"),
     ],
 )
-def test_bad_searches_name_the_field(body, field):
-    with pytest.raises(caller_http.RequestError) as caught:
+def test_invalid_searches_name_the_field(body, field):
+    with pytest.raises(caller_http.RequestError) as raised:
         caller_http.parse(caller_http.SearchBody, json.dumps(body).encode(), 1000)
-    assert caught.value.field == field
+    assert raised.value.field == field
 
 
-def test_oversized_and_broken_bodies():
+def test_oversized_and_malformed_bodies_are_rejected():
     with pytest.raises(caller_http.RequestError, match="larger than 10 bytes"):
         caller_http.parse(caller_http.SearchBody, b" " * 11, 10)
     with pytest.raises(caller_http.RequestError):
         caller_http.parse(caller_http.SearchBody, b"{", 10)
 
 
-def test_every_reason_has_a_status():
+def test_every_reason_maps_to_an_http_error_status():
     for reason in verdict.Reason:
         status = caller_http.status_of(verdict.not_run(reason))
         assert 400 <= status < 600
     assert caller_http.status_of(verdict.OK) == 200
 
 
-def test_a_refusal_is_not_run_only_where_the_target_says_so():
-    said = target_http.read_outcome(503, {target_http.NOT_RUN: "overloaded"}, b"")
-    assert said.verdict.is_not_run
-    unsaid = target_http.read_outcome(503, {}, b"")
-    assert unsaid.verdict.certainty is verdict.Certainty.RAN
-    garbled = target_http.read_outcome(200, {target_http.SNAPSHOT: "junk"}, b"")
-    assert garbled.verdict.certainty is verdict.Certainty.MAY_HAVE_RUN
+def test_an_error_response_means_not_run_only_if_the_target_declares_it():
+    declared = target_http.read_outcome(503, {target_http.NOT_RUN: "overloaded"}, b"")
+    assert declared.verdict.is_not_run
+    undeclared = target_http.read_outcome(503, {}, b"")
+    assert undeclared.verdict.certainty is verdict.Certainty.RAN
+    malformed = target_http.read_outcome(200, {target_http.SNAPSHOT: "junk"}, b"")
+    assert malformed.verdict.certainty is verdict.Certainty.MAY_HAVE_RUN
 
 
-def test_signed_requests_are_taken_once():
+def test_a_signed_request_cannot_be_replayed():
     verifier = auth.SignatureVerifier(b"s")
     header = auth.sign(b"s", "POST", "/v1/x", b"body", 100.0)
     verifier.verify(header, "POST", "/v1/x", b"body", 101.0)
@@ -147,7 +152,7 @@
         ("POST", "/v1/x", b"body", 100.0 + auth.MAX_SKEW_SECONDS + 1),
     ],
 )
-def test_changed_or_old_requests_are_refused(method, path, body, now):
+def test_requests_with_invalid_or_outdated_signatures_are_rejected(method, path, body, now):
     header = auth.sign(b"s", "POST", "/v1/x", b"body", 100.0)
     with pytest.raises(auth.AuthenticationError):
         auth.SignatureVerifier(b"s").verify(header, method, path, body, now)
@@ -158,7 +163,7 @@
 
 
 @pytest.mark.parametrize("name", ["workspace", "tenant"])
-def test_the_workspace_is_taken_under_its_name_and_the_one_before(name):
+def test_the_workspace_is_accepted_under_its_current_and_its_former_name(name):
     body = json.dumps({name: "choir"}).encode()
     found = caller_http.parse(caller_http.SearchBody, body, 1000)
     assert found.workspace == "choir"
@@ -166,7 +171,7 @@
     assert found.selector_fields()["tenant"] == "choir"
 
 
-def test_a_workspace_under_both_names_is_refused():
+def test_a_workspace_under_both_names_is_rejected():
     body = json.dumps({"workspace": "choir", "tenant": "band"}).encode()
     with pytest.raises(caller_http.RequestError):
         caller_http.parse(caller_http.SearchBody, body, 1000)
