--- a/src/lineworks/services/operator_api.py
+++ b/src/lineworks/services/operator_api.py
@@ -116,10 +116,10 @@
     def _require_signature(self, handler: Callable[..., Any]) -> Callable[..., Any]:
         """Wrap a handler so that only requests with a valid signature reach it."""
 
-        def handle(request: Any, **parts: str) -> defer.Deferred[bytes]:
-            return defer.ensureDeferred(respond(request, parts))
+        def handle(request: Any, **path_params: str) -> defer.Deferred[bytes]:
+            return defer.ensureDeferred(respond(request, path_params))
 
-        async def respond(request: Any, parts: dict[str, str]) -> bytes:
+        async def respond(request: Any, path_params: dict[str, str]) -> bytes:
             body = request.content.read(MAX_CHANGE_BYTES + 1)
             path = request.uri.decode()
             method = request.method.decode()
@@ -131,7 +131,7 @@
                 _log.warning("refused", path=path, reason=str(error))
                 reply = caller_http.problem_reply(401, "Not authorised", str(error))
                 return http_server.write_reply(request, reply)
-            return http_server.write_reply(request, await handler(body, **parts))
+            return http_server.write_reply(request, await handler(body, **path_params))
 
         return handle
 
