--- a/src/lineworks/services/caller_api.py
+++ b/src/lineworks/services/caller_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers; see docs/reference/callers.md."""
+"""The HTTP API for callers; see docs/reference/callers.md."""
 
 from __future__ import annotations
 
@@ -26,63 +26,66 @@
         traces,
     )
 
-DRAIN_RETRY = 0.1
-"""Seconds after which a caller refused by a leaving instance may ask another one."""
+DRAIN_RETRY_AFTER = 0.1
+"""Retry delay, in seconds, that a draining instance gives to callers it refuses.
+
+A retry may reach another instance.
+"""
 
 
 class CallerApi:
-    """Serves searches and runs."""
+    """Serves searches, single requests and tickets to callers."""
 
     def __init__(
         self,
         reactor: Any,
         options: settings.Settings,
-        core: cluster.Cluster,
-        runner: runs.Runs,
+        query_engine: cluster.QueryEngine,
+        runner: runs.RequestRunner,
         keeper: config_keeper.ConfigKeeper,
-        life: lifecycle.Lifecycle,
-        counts: metrics.Metrics,
+        lifecycle: lifecycle.Lifecycle,
+        instance_metrics: metrics.Metrics,
         timelines: traces.Traces,
     ) -> None:
-        """Make the interface; nothing listens yet.
+        """Create the API; it does not listen before `start`.
 
         Args:
             reactor: Twisted's reactor.
             options: Settings of this instance.
-            core: The query engine.
+            query_engine: The query engine.
             runner: Runs single requests.
             keeper: The configuration in force.
-            life: Says whether new work is taken.
-            counts: Takes measurements.
-            timelines: Holds the steps of queries.
+            lifecycle: Lifecycle of this instance, by which new requests are served or refused.
+            instance_metrics: Metrics of this instance.
+            timelines: Timelines of recent queries.
         """
         self._reactor = reactor
         self._options = options
-        self._core = core
+        self._query_engine = query_engine
         self._runner = runner
         self._keeper = keeper
-        self._life = life
-        self._counts = counts
+        self._lifecycle = lifecycle
+        self._instance_metrics = instance_metrics
         self._timelines = timelines
         self._port: Any = None
-        self._responding = 0
+        self._active_responses = 0
         self._app = self._routes()
 
     @property
     def port(self) -> int:
-        """TCP port that callers connect to."""
+        """TCP port on which callers are served."""
         number: int = self._port.getHost().port
         return number
 
     @property
     def is_idle(self) -> bool:
-        """Whether no response is still being made."""
-        return self._responding == 0
+        """Whether no request is in progress."""
+        return self._active_responses == 0
 
     def start(self) -> None:
-        """Listen."""
-        where = self._options.caller
-        self._port = http_server.listen(self._reactor, self._app, where.host, where.port)
+        """Start listening."""
+        address = self._options.caller
+        self._port = http_server.listen(self._reactor, self._app, address.host, address.port)
 
     def stop(self) -> Any:
         """Stop listening."""
@@ -96,35 +99,39 @@
             ("/v1/tickets", self._tickets),
         )
         for path, handler in routes:
-            http_server.add_route(app, "POST", path, self._guarded(handler))
-        http_server.add_route(app, "GET", "/healthz", http_server.answer_health)
+            http_server.add_route(app, "POST", path, self._wrap_handler(handler))
+        http_server.add_route(app, "GET", "/healthz", http_server.handle_health)
         http_server.add_route(app, "GET", "/readyz", self._readyz)
         return app
 
-    def _guarded(self, handler: Callable[[Any], Any]) -> Callable[[Any], Any]:
-        """Wrap a handler: count it, refuse it while leaving, and answer bad requests."""
+    def _wrap_handler(self, handler: Callable[[Any], Any]) -> Callable[[Any], Any]:
+        """Wrap a handler in what all requests have in common.
+
+        The wrapper counts requests in progress, refuses them while the instance starts or drains,
+        and answers malformed ones.
+        """
 
         def handle(request: Any) -> defer.Deferred[bytes]:
-            return defer.ensureDeferred(guarded(request))
+            return defer.ensureDeferred(respond(request))
 
-        async def guarded(request: Any) -> bytes:
-            self._responding += 1
+        async def respond(request: Any) -> bytes:
+            self._active_responses += 1
             try:
                 reply = await self._dispatch(handler, request)
             finally:
-                self._responding -= 1
+                self._active_responses -= 1
             return http_server.write_reply(request, reply)
 
         return handle
 
     async def _dispatch(self, handler: Callable[[Any], Any], request: Any) -> caller_http.Reply:
-        if self._life.state == "draining":
-            found = verdict.not_run(verdict.Reason.LEAVING, "this instance is leaving")
+        if self._lifecycle.state == "draining":
+            refusal = verdict.not_run(verdict.Reason.LEAVING, "this instance is leaving")
             request.setHeader("Connection", "close")
-            return caller_http.verdict_reply(found, DRAIN_RETRY)
-        if self._life.state == "starting":
-            found = verdict.not_run(verdict.Reason.NOT_READY, "no configuration yet")
-            return caller_http.verdict_reply(found, 1.0)
+            return caller_http.verdict_reply(refusal, DRAIN_RETRY_AFTER)
+        if self._lifecycle.state == "starting":
+            refusal = verdict.not_run(verdict.Reason.NOT_READY, "no configuration yet")
+            return caller_http.verdict_reply(refusal, 1.0)
         try:
             reply: caller_http.Reply = await handler(request)
         except caller_http.RequestError as error:
@@ -146,9 +153,9 @@
             body.min_coverage,
         )
         done: defer.Deferred[requests.Answer] = defer.Deferred()
-        _cancel_on_disconnect(request, self._core.front.search(search, done.callback), done)
+        _cancel_on_disconnect(request, self._query_engine.front.search(search, done.callback), done)
         answer = await done
-        self._counts.observe(
+        self._instance_metrics.observe(
             body.workspace, body.caller_class, answer, self._reactor.seconds() - started
         )
         reply = caller_http.answer_reply(answer, self._keeper.age)
@@ -176,8 +183,8 @@
         return caller_http.Reply(200, {"tickets": self._runner.issue(body)})
 
     def _readyz(self, request: Any) -> bytes:
-        request.setResponseCode(200 if self._life.is_ready else 503)
-        return http_server.write_json(request, {"state": self._life.state})
+        request.setResponseCode(200 if self._lifecycle.is_ready else 503)
+        return http_server.write_json(request, {"state": self._lifecycle.state})
 
 
 def _wants_timeline(request: Any) -> bool:
@@ -187,12 +194,12 @@
 def _cancel_on_disconnect(
     request: Any, cancel: Callable[[], None], done: defer.Deferred[Any] | None
 ) -> None:
-    """Give a query up when its caller's connection breaks."""
+    """Cancel a query when its caller's connection is lost."""
 
-    def gone(_: Any) -> None:
+    def on_disconnect(_: Any) -> None:
         cancel()
         if done is not None and not done.called:
             done.cancel()
 
     with contextlib.suppress(Exception):
-        request.notifyFinish().addErrback(gone)
+        request.notifyFinish().addErrback(on_disconnect)
--- a/src/lineworks/services/cluster.py
+++ b/src/lineworks/services/cluster.py
@@ -1,4 +1,4 @@
-"""Ties the query engine to this instance's links, targets, members and configuration."""
+"""Connects the query engine to this instance's links, targets, members and configuration."""
 
 from __future__ import annotations
 
@@ -24,24 +24,27 @@
         traces,
     )
 
-DEFAULT_DELAY = 0.010
-"""One-way seconds to a hall for which the settings name no delay."""
+DEFAULT_DELAY_SECONDS = 0.010
+"""One-way network delay, in seconds, to a hall for which the settings give no delay."""
 
-OWN_HALL_DELAY = 0.0005
-"""One-way seconds to another instance of the own hall."""
+SAME_HALL_DELAY_SECONDS = 0.0005
+"""One-way network delay, in seconds, to another instance of the same hall."""
 
-REPORT_SECONDS = 1.0
-"""Seconds after which a target that sent no report is asked for one."""
+REPORT_INTERVAL_SECONDS = 1.0
+"""Seconds without a report after which a target is asked for one."""
 
-REPORT_TICK = 0.1
-"""Seconds between looks for targets to ask."""
+REPORT_POLL_SECONDS = 0.1
+"""Seconds between checks for targets whose reports are due."""
 
-REPORTS_PER_TICK = 5
-"""Targets asked at one look at most, so that asking costs a bounded share of the processor."""
+MAX_REPORTS_PER_POLL = 5
+"""Maximum number of targets with a known state that are asked for a report at each check.
 
+This bounds the share of the processor that the requests take.
+"""
 
-class Cluster:
-    """The front and the gatherer of this instance, connected."""
+
+class QueryEngine:
+    """The front and the gatherer of this instance, with their connections."""
 
     def __init__(
         self,
@@ -55,18 +58,18 @@
         timelines: traces.Traces,
         era: store_era.StoreEra,
     ) -> None:
-        """Connect the engine.
+        """Create the front and the gatherer, and connect them.
 
         Args:
             reactor: Twisted's reactor.
-            rng: Random source of the decisions.
+            rng: Random number generator for the front and the gatherer.
             options: Settings of this instance.
             links: Links to peers.
             pool: Connections to targets.
             keeper: The configuration in force.
             members: The live instances.
-            timelines: Takes the steps of queries.
-            era: Which era the platform's store is in; instances tell each other.
+            timelines: Records the events of queries.
+            era: Era of the platform's store, which instances also exchange in heartbeats.
         """
         self._reactor = reactor
         self._name = options.name
@@ -79,19 +82,19 @@
         self._delays = {hall: ms / 1000 for hall, ms in options.hall_delay_ms.items()}
         self._hall = options.hall
         self._incarnations: dict[str, str] = {}
-        self._pending: dict[str, list[messages.ShardReply]] = {}
-        self._task = task.Task("cluster", self._ask_reports)
-        self._asked: dict[str, float] = {}
-        self._is_holdings_due = False
-        self.view = views.ClusterView(options.name, options.hall, self._delay)
-        self.gatherer = gatherer.Gatherer(reactor, rng, pool, on_trace=timelines.note)
+        self._pending_replies: dict[str, list[messages.ShardReply]] = {}
+        self._task = task.Task("cluster", self._poll_reports)
+        self._report_requested_at: dict[str, float] = {}
+        self._is_broadcast_scheduled = False
+        self.view = views.ClusterView(options.name, options.hall, self._one_way_delay)
+        self.gatherer = gatherer.Gatherer(reactor, rng, pool, on_trace=timelines.record)
         self.front = front.Front(
-            options.name, reactor, rng, self, self.view, on_trace=timelines.note
+            options.name, reactor, rng, self, self.view, on_trace=timelines.record
         )
         self.gatherer.on_holdings_changed = self._on_holdings_changed
-        self._connect()
+        self._register_handlers()
 
-    def _connect(self) -> None:
+    def _register_handlers(self) -> None:
         links = self._links
         links.handle(frames.Heartbeat, self._on_heartbeat)
         links.handle(frames.Replies, self._on_replies)
@@ -106,42 +109,43 @@
         self._members.listeners.append(self._on_members)
 
     def start(self) -> None:
-        """Begin to ask targets for their reports."""
+        """Start asking targets for their reports."""
         self._task.start()
 
     def stop(self) -> None:
-        """Stop asking."""
+        """Stop asking targets for their reports."""
         self._task.stop()
 
     def send(self, instance: str, request: messages.Request) -> bool:
-        """Carry a message to a gatherer, this instance's own or a peer's.
+        """Send a message to the gatherer of this instance or of a peer.
 
         Args:
             instance: Name of the gatherer's instance.
             request: The message.
 
         Returns:
-            False when there is no link to it.
+            Whether the message was sent; False if there is no link to the instance.
         """
         if instance != self._name:
             return self._links.send(instance, request)
-        # The own gatherer is called later, so that the front is never entered again from inside.
-        self._reactor.callLater(0, self._hand_to_own, request)
+        # The local gatherer is called in a later turn of the reactor, so that its replies never
+        # re-enter the front while the front is sending.
+        self._reactor.callLater(0, self._deliver_locally, request)
         return True
 
-    def _hand_to_own(self, request: messages.Request) -> None:
+    def _deliver_locally(self, request: messages.Request) -> None:
         if isinstance(request, messages.SubQueries):
-            self.gatherer.on_sub_queries("", request, self._reply_to_own)
+            self.gatherer.on_sub_queries("", request, self._reply_locally)
         else:
             self.gatherer.on_cancel("", request)
 
-    def _reply_to_own(self, reply: messages.ShardReply) -> None:
+    def _reply_locally(self, reply: messages.ShardReply) -> None:
         self.front.on_reply(self._name, reply)
 
-    def _delay(self, hall: str) -> float:
+    def _one_way_delay(self, hall: str) -> float:
         if hall == self._hall:
-            return OWN_HALL_DELAY
-        return self._delays.get(hall, DEFAULT_DELAY)
+            return SAME_HALL_DELAY_SECONDS
+        return self._delays.get(hall, DEFAULT_DELAY_SECONDS)
 
     def _make_heartbeat(self) -> frames.Heartbeat:
         return frames.Heartbeat(
@@ -191,65 +195,75 @@
         self.gatherer.on_cancel(link.hello.incarnation, frame)
 
     def _reply_to_peer(self, name: str, reply: messages.ShardReply) -> None:
-        """Batch the replies of one turn of the reactor into one frame."""
-        batch = self._pending.get(name)
+        """Queue a reply; all replies to a peer in one turn of the reactor are sent as one frame."""
+        batch = self._pending_replies.get(name)
         if batch is None:
-            self._pending[name] = [reply]
-            self._reactor.callLater(0, self._flush, name)
+            self._pending_replies[name] = [reply]
+            self._reactor.callLater(0, self._flush_replies, name)
         else:
             batch.append(reply)
 
-    def _flush(self, name: str) -> None:
-        batch = self._pending.pop(name, None)
+    def _flush_replies(self, name: str) -> None:
+        batch = self._pending_replies.pop(name, None)
         if batch:
             self._links.send(name, frames.Replies(tuple(batch)))
 
     def _on_config(self, config: catalog.Catalog, weights: dict[str, float]) -> None:
         self.view.set_config(config, weights)
-        self._own()
+        self._update_ownership()
 
     def _on_members(self, live: dict[str, str]) -> None:
         self.view.set_members(live)
         self.front.on_members_changed()
-        self._own()
+        self._update_ownership()
 
-    def _own(self) -> None:
+    def _update_ownership(self) -> None:
         if self._is_gatherer:
             self.gatherer.set_targets(self.view.owned_targets())
-            self._reactor.callLater(0, self._ask_some)
+            self._reactor.callLater(0, self._request_due_reports)
 
     def _on_holdings_changed(self) -> None:
-        """Tell the own front at once, and all peers once in this turn of the reactor."""
+        """Update the local front at once, and all peers at most once per turn of the reactor."""
         self.view.set_holdings(self._name, self.gatherer.holdings())
-        if not self._is_holdings_due:
-            self._is_holdings_due = True
-            self._reactor.callLater(0, self._spread_holdings)
+        if not self._is_broadcast_scheduled:
+            self._is_broadcast_scheduled = True
+            self._reactor.callLater(0, self._broadcast_holdings)
 
-    def _spread_holdings(self) -> None:
-        self._is_holdings_due = False
+    def _broadcast_holdings(self) -> None:
+        self._is_broadcast_scheduled = False
         self._links.broadcast(frames.Holdings(self.gatherer.holdings()))
 
-    async def _ask_reports(self) -> None:
+    async def _poll_reports(self) -> None:
         while True:
-            self._ask_some()
-            await task.sleep(self._reactor, REPORT_TICK)
+            self._request_due_reports()
+            await task.sleep(self._reactor, REPORT_POLL_SECONDS)
+
+    def _request_due_reports(self) -> None:
+        """Ask targets whose reports are due.
 
-    def _ask_some(self) -> None:
-        """Ask targets that told nothing lately: new ones all at once, others a few at a time."""
+        New targets are all asked at once; while there are none, the others are asked in the order
+        of their last report or request, at most `MAX_REPORTS_PER_POLL` at a time.
+        """
         now = self._reactor.seconds()
         owned_replicas = list(self.gatherer.owned_replicas)
-        unknown = [
-            r for r in owned_replicas if not r.incarnation and r.target.name not in self._asked
+        new_replicas = [
+            r
+            for r in owned_replicas
+            if not r.incarnation and r.target.name not in self._report_requested_at
+        ]
+        due = [
+            r
+            for r in owned_replicas
+            if now - self._last_report_or_request(r) >= REPORT_INTERVAL_SECONDS
         ]
-        due = [r for r in owned_replicas if now - self._heard_or_asked(r) >= REPORT_SECONDS]
-        due.sort(key=self._heard_or_asked)
-        for replica in unknown or due[:REPORTS_PER_TICK]:
-            self._asked[replica.target.name] = now
-            asked = self._pool.ask_report(replica.target)
-            asked.addCallback(self._on_report, replica.target.name)
-
-    def _heard_or_asked(self, replica: replicas.Replica) -> float:
-        return max(replica.reported_at, self._asked.get(replica.target.name, 0.0))
+        due.sort(key=self._last_report_or_request)
+        for replica in new_replicas or due[:MAX_REPORTS_PER_POLL]:
+            self._report_requested_at[replica.target.name] = now
+            pending_report = self._pool.ask_report(replica.target)
+            pending_report.addCallback(self._on_report, replica.target.name)
+
+    def _last_report_or_request(self, replica: replicas.Replica) -> float:
+        return max(replica.reported_at, self._report_requested_at.get(replica.target.name, 0.0))
 
     def _on_report(self, report: Any, target: str) -> None:
         if report is not None:
--- a/src/lineworks/services/operator_api.py
+++ b/src/lineworks/services/operator_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for operators; see docs/reference/operators.md."""
+"""The HTTP API for operators; see docs/reference/operators.md."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     )
 
 MAX_CHANGE_BYTES = 4 * 1024 * 1024
-"""Bytes that a change may have."""
+"""Maximum size, in bytes, of the body of a change or of a search to explain."""
 
 _log = structlog.get_logger(component="operator_api")
 
@@ -37,59 +37,59 @@
 
 
 class OperatorApi:
-    """Serves operators and the metrics collector."""
+    """Serves operators' requests, health and readiness probes, and metrics."""
 
     def __init__(
         self,
         reactor: Any,
         options: settings.Settings,
-        core: cluster.Cluster,
+        query_engine: cluster.QueryEngine,
         keeper: config_keeper.ConfigKeeper,
         store: config_store.ConfigStore,
-        life: lifecycle.Lifecycle,
-        counts: metrics.Metrics,
+        lifecycle: lifecycle.Lifecycle,
+        instance_metrics: metrics.Metrics,
         timelines: traces.Traces,
         links: peer_links.PeerLinks,
         platform: platform_client.PlatformClient,
     ) -> None:
-        """Make the interface; nothing listens yet.
+        """Create the API; it does not listen before `start`.
 
         Args:
             reactor: Twisted's reactor.
             options: Settings of this instance.
-            core: The query engine.
+            query_engine: The query engine.
             keeper: The configuration in force.
-            store: The configuration in the platform.
-            life: The life of this instance.
-            counts: All metrics.
-            timelines: The steps of queries.
+            store: Reads and changes the configuration that the platform stores.
+            lifecycle: Lifecycle of this instance.
+            instance_metrics: Metrics of this instance.
+            timelines: Timelines of recent queries.
             links: Links to peers.
-            platform: The platform.
+            platform: Client of the platform.
         """
         self._reactor = reactor
         self._options = options
-        self._core = core
+        self._query_engine = query_engine
         self._keeper = keeper
         self._store = store
-        self._life = life
-        self._counts = counts
+        self._lifecycle = lifecycle
+        self._instance_metrics = instance_metrics
         self._timelines = timelines
         self._links = links
         self._platform = platform
-        self._checker = auth.Checker(options.shared_secret())
+        self._verifier = auth.SignatureVerifier(options.shared_secret())
         self._port: Any = None
         self._app = self._routes()
 
     @property
     def port(self) -> int:
-        """TCP port that operators connect to."""
+        """TCP port on which operators are served."""
         number: int = self._port.getHost().port
         return number
 
     def start(self) -> None:
-        """Listen."""
-        where = self._options.operator
-        self._port = http_server.listen(self._reactor, self._app, where.host, where.port)
+        """Start listening."""
+        address = self._options.operator
+        self._port = http_server.listen(self._reactor, self._app, address.host, address.port)
 
     def stop(self) -> Any:
         """Stop listening."""
@@ -97,56 +97,58 @@
 
     def _routes(self) -> klein.Klein:
         app = klein.Klein()
-        http_server.add_route(app, "GET", "/healthz", http_server.answer_health)
+        http_server.add_route(app, "GET", "/healthz", http_server.handle_health)
         http_server.add_route(app, "GET", "/readyz", self._readyz)
         http_server.add_route(app, "GET", "/metrics", self._metrics)
         routes: tuple[tuple[str, str, Callable[..., Any]], ...] = (
             ("GET", "/v1/status", self._status),
             ("GET", "/v1/configuration", self._configuration),
             ("POST", "/v1/changes", self._change),
-            ("GET", "/v1/changes/<change_id>", self._settle),
+            ("GET", "/v1/changes/<change_id>", self._change_outcome),
             ("POST", "/v1/explain", self._explain),
             ("GET", "/v1/traces/<query>", self._trace),
             ("POST", "/v1/drain", self._drain),
         )
         for method, path, handler in routes:
-            http_server.add_route(app, method, path, self._signed(handler))
+            http_server.add_route(app, method, path, self._require_signature(handler))
         return app
 
-    def _signed(self, handler: Callable[..., Any]) -> Callable[..., Any]:
-        """Wrap a handler so that only signed requests reach it."""
+    def _require_signature(self, handler: Callable[..., Any]) -> Callable[..., Any]:
+        """Wrap a handler so that only requests with a valid signature reach it."""
 
-        def handle(request: Any, **parts: str) -> defer.Deferred[bytes]:
-            return defer.ensureDeferred(signed(request, parts))
+        def handle(request: Any, **path_params: str) -> defer.Deferred[bytes]:
+            return defer.ensureDeferred(respond(request, path_params))
 
-        async def signed(request: Any, parts: dict[str, str]) -> bytes:
+        async def respond(request: Any, path_params: dict[str, str]) -> bytes:
             body = request.content.read(MAX_CHANGE_BYTES + 1)
             path = request.uri.decode()
             method = request.method.decode()
             try:
-                self._checker.check(request.getHeader(auth.HEADER), method, path, body, time.time())
-            except auth.RefusedError as error:
+                self._verifier.verify(
+                    request.getHeader(auth.HEADER), method, path, body, time.time()
+                )
+            except auth.AuthenticationError as error:
                 _log.warning("refused", path=path, reason=str(error))
                 reply = caller_http.problem_reply(401, "Not authorised", str(error))
                 return http_server.write_reply(request, reply)
-            return http_server.write_reply(request, await handler(body, **parts))
+            return http_server.write_reply(request, await handler(body, **path_params))
 
         return handle
 
     def _readyz(self, request: Any) -> bytes:
-        request.setResponseCode(200 if self._life.is_ready else 503)
-        document: dict[str, Any] = {"state": self._life.state}
-        if self._life.state == "starting":
+        request.setResponseCode(200 if self._lifecycle.is_ready else 503)
+        document: dict[str, Any] = {"state": self._lifecycle.state}
+        if self._lifecycle.state == "starting":
             document["why"] = "neither the platform nor a peer has given a configuration yet"
         return http_server.write_json(request, document)
 
     def _metrics(self, request: Any) -> bytes:
         request.setHeader("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-        return self._counts.export()
+        return self._instance_metrics.export()
 
     async def _status(self, body: bytes) -> caller_http.Reply:
         del body
-        view = self._core.view
+        view = self._query_engine.view
         replicas = [
             {
                 "target": replica.target.name,
@@ -158,12 +160,12 @@
                 "leaving": replica.is_leaving,
                 "failures": replica.failures,
             }
-            for replica in self._core.gatherer.owned_replicas
+            for replica in self._query_engine.gatherer.owned_replicas
         ]
         document = {
             "name": self._options.name,
             "hall": self._options.hall,
-            "state": self._life.state,
+            "state": self._lifecycle.state,
             "configuration": {
                 "version": self._keeper.version,
                 "digest": self._keeper.digest,
@@ -211,20 +213,20 @@
             return caller_http.problem_reply(400, "Bad request", f"malformed change: {error}")
         except configuration.ConfigurationError as error:
             return caller_http.problem_reply(400, "Configuration refused", str(error))
-        wanted = self._keeper.version if base is None else base
-        if not isinstance(wanted, int) or wanted < 0:
+        base_version = self._keeper.version if base is None else base
+        if not isinstance(base_version, int) or base_version < 0:
             return caller_http.problem_reply(400, "Bad request", "base: must be a version")
-        outcome = await self._store.apply(file.items(), wanted, change_id, author)
+        outcome = await self._store.apply(file.items(), base_version, change_id, author)
         if isinstance(outcome, config_store.Accepted):
             await self._refresh()
         return _change_reply(outcome, change_id)
 
-    async def _settle(self, body: bytes, change_id: str) -> caller_http.Reply:
+    async def _change_outcome(self, body: bytes, change_id: str) -> caller_http.Reply:
         del body
         return _change_reply(await self._store.settle(change_id), change_id)
 
     async def _refresh(self) -> None:
-        """Put an accepted change in force here without waiting for the watch."""
+        """Apply an accepted change on this instance at once, without waiting for the watch."""
         try:
             await self._keeper.refresh()
         except Exception as error:
@@ -237,7 +239,7 @@
             )
         except caller_http.RequestError as error:
             return caller_http.problem_reply(400, "Bad request", str(error), field=error.field)
-        config = self._core.view.config
+        config = self._query_engine.view.config
         match = selectors.choose(config.selectors, search.selector_fields())
         labels = match.selector.group if match.selector else {"": ""}
         matched = match.selector.name if match.selector else None
@@ -253,8 +255,8 @@
 
     async def _drain(self, body: bytes) -> caller_http.Reply:
         del body
-        self._life.stop_asked()
-        return caller_http.Reply(200, {"state": self._life.state})
+        self._lifecycle.stop_requested()
+        return caller_http.Reply(200, {"state": self._lifecycle.state})
 
 
 def _change_reply(outcome: config_store.Outcome, change_id: str) -> caller_http.Reply:
