--- a/src/lineworks/programs/_common.py
+++ b/src/lineworks/programs/_common.py
@@ -24,7 +24,7 @@
 EXIT_REFUSED = 3
 """The request was refused and did not run."""
 
-EXIT_UNSURE = 4
+EXIT_UNKNOWN = 4
 """It is not known whether the request ran."""
 
 
--- a/src/lineworks/programs/_log_lines.py
+++ b/src/lineworks/programs/_log_lines.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-def fields_of(text: str) -> dict[str, Any] | None:
+def parse_line(text: str) -> dict[str, Any] | None:
     """Read a line.
 
     Args:
@@ -19,12 +19,12 @@
     if start < 0:
         return None
     try:
-        found = json.loads(text[start:])
+        parsed = json.loads(text[start:])
     except ValueError:
         return None
-    return found if isinstance(found, dict) else None
+    return parsed if isinstance(parsed, dict) else None
 
 
-def number(value: Any) -> float:
+def number_or_zero(value: Any) -> float:
     """Read a field that should be a number; 0 when it is none."""
     return float(value) if isinstance(value, int | float) else 0.0
--- a/src/lineworks/programs/_losses.py
+++ b/src/lineworks/programs/_losses.py
@@ -21,30 +21,30 @@
 """Part of a request's use that is lost when it is answered after its aim: callers mostly have gone
 on by then."""
 
-MOST_ROWS = 12
+MAX_ROWS = 12
 """Rows that a table shows at most."""
 
-MOST_EXAMPLES = 3
+MAX_EXAMPLES = 3
 """Identities of requests that a row names at most."""
 
-_IDENTITY = re.compile(r"\b[a-z]+-[0-9a-f]{4,}\b")
-_SERVICE = re.compile(r"^\S+: ")
-_PREFIX = re.compile(r"^\s*(-?\d+\.\d+)\s+(\S+)\s+\{")
+_GENERATED_ID = re.compile(r"\b[a-z]+-[0-9a-f]{4,}\b")
+_SERVICE_PREFIX = re.compile(r"^\S+: ")
+_COLLECTOR_PREFIX = re.compile(r"^\s*(-?\d+\.\d+)\s+(\S+)\s+\{")
 _UNKNOWN = "?"
 
-_NOT_OWED = (401, 404, 429)
+_UNCOUNTED_STATUSES = (401, 404, 429)
 """Status of answers to an unknown key, to an unknown route, and to what is over a quota."""
 
 _NO_WORKSPACE = "none"
 
-_CUT = "cut by the end of the process"
+_CUT_REASON = "cut by the end of the process"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
     """A request that went badly."""
 
-    identity: str
+    attempt_id: str
     """The caller's identity of the try."""
 
     route: str
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         """Start with nothing read."""
         self._halls: dict[str, str] = {}
-        self._failed: set[str] = set()
+        self._failed_attempts: set[str] = set()
         self.left_out = 0
         """Lines on requests that the instances left out for their number."""
 
@@ -88,65 +88,67 @@
             Requests that went badly.
         """
         for text in lines:
-            fields = _log_lines.fields_of(text)
+            fields = _log_lines.parse_line(text)
             if fields is None:
                 continue
-            prefix = _PREFIX.match(text)
+            prefix = _COLLECTOR_PREFIX.match(text)
             instance = prefix[2] if prefix else name
-            at = float(prefix[1]) if prefix else _log_lines.number(fields.get("t"))
-            found = self._take(instance, at, fields)
+            ended_at = float(prefix[1]) if prefix else _log_lines.number_or_zero(fields.get("t"))
+            found = self._process(instance, ended_at, fields)
             if found is not None:
                 yield found
 
-    def _take(self, instance: str, at: float, fields: dict[str, Any]) -> Loss | None:
+    def _process(self, instance: str, ended_at: float, fields: dict[str, Any]) -> Loss | None:
         event = fields.get("event")
         if event == "started":
             self._halls[instance] = str(fields.get("hall", _UNKNOWN))
         elif event == "lines_left_out" and fields.get("kind") == "request":
-            self.left_out += int(_log_lines.number(fields.get("count")))
+            self.left_out += int(_log_lines.number_or_zero(fields.get("count")))
         elif event == "caller_gone":
-            return self._loss(instance, at, fields, "the caller left", 1.0)
+            return self._loss(instance, ended_at, fields, "the caller left", 1.0)
         elif event in ("cut_at_end", "answer_not_delivered"):
             # A failure is lost once, also when its caller did not get it.
-            if fields.get("id") in self._failed:
+            if fields.get("id") in self._failed_attempts:
                 return None
-            return self._loss(instance, at, fields, _CUT, 1.0)
+            return self._loss(instance, ended_at, fields, _CUT_REASON, 1.0)
         elif event == "request":
-            return self._judge(instance, at, fields)
+            return self._evaluate_request(instance, ended_at, fields)
         return None
 
-    def _judge(self, instance: str, at: float, fields: dict[str, Any]) -> Loss | None:
+    def _evaluate_request(
+        self, instance: str, ended_at: float, fields: dict[str, Any]
+    ) -> Loss | None:
         """Say what a request lost; nothing where nobody owes an answer."""
-        if fields.get("status") in _NOT_OWED:
+        if fields.get("status") in _UNCOUNTED_STATUSES:
             return None
         if fields.get("status") != 200:
-            self._failed.add(str(fields.get("id")))
-            return self._loss(instance, at, fields, _why_failed(fields), 1.0)
-        slo = _log_lines.number(fields.get("aim_ms"))
-        if slo and _log_lines.number(fields.get("ms")) > slo:
-            return self._loss(instance, at, fields, "late", LATE_LOSS)
-        total = _log_lines.number(fields.get("total"))
-        covered = _log_lines.number(fields.get("covered"))
+            self._failed_attempts.add(str(fields.get("id")))
+            return self._loss(instance, ended_at, fields, _failure_reason(fields), 1.0)
+        slo = _log_lines.number_or_zero(fields.get("aim_ms"))
+        if slo and _log_lines.number_or_zero(fields.get("ms")) > slo:
+            return self._loss(instance, ended_at, fields, "late", LATE_LOSS)
+        total = _log_lines.number_or_zero(fields.get("total"))
+        covered = _log_lines.number_or_zero(fields.get("covered"))
         if covered < total:
             amount = 1.0 - (covered / total) ** 2
-            return self._loss(instance, at, fields, _why_partial(fields), amount)
+            return self._loss(instance, ended_at, fields, _partial_reason(fields), amount)
         return None
 
     def _loss(
-        self, instance: str, at: float, fields: dict[str, Any], reason: str, amount: float
+        self, instance: str, ended_at: float, fields: dict[str, Any], reason: str, amount: float
     ) -> Loss:
         return Loss(
-            identity=str(fields.get("id", _UNKNOWN)),
+            attempt_id=str(fields.get("id", _UNKNOWN)),
             route=str(fields.get("route") or _UNKNOWN),
             workspace=str(fields.get("workspace") or ""),
             hall=self._halls.get(instance, _UNKNOWN),
-            second=int(at // 1),
+            second=int(ended_at // 1),
             reason=reason,
             amount=amount,
         )
 
 
-def write(losses: Sequence[Loss], left_out: int) -> list[str]:
+def format_tables(losses: Sequence[Loss], left_out: int) -> list[str]:
     """Write tables of what was lost, the greatest first; seconds in their order.
 
     Args:
@@ -156,8 +158,8 @@
     Returns:
         Lines for a person.
     """
-    whole = sum(loss.amount for loss in losses)
-    lines = [f"{len(losses)} requests went badly; together they lost the use of {whole:.1f}"]
+    total_lost = sum(loss.amount for loss in losses)
+    lines = [f"{len(losses)} requests went badly; together they lost the use of {total_lost:.1f}"]
     if left_out:
         lines.append(f"{left_out} lines on requests were left out for their number")
     lines += _table("route", losses, lambda loss: loss.route)
@@ -173,33 +175,35 @@
     groups: dict[str, list[Loss]] = collections.defaultdict(list)
     for loss in losses:
         groups[key(loss)].append(loss)
-    ranked = sorted(groups.items(), key=lambda item: -_amount(item[1]))
-    shown = ranked[:MOST_ROWS]
+    ranked = sorted(groups.items(), key=lambda item: -_total_amount(item[1]))
+    shown = ranked[:MAX_ROWS]
     if is_ordered:
         shown.sort()
     lines = ["", f"{'lost':>7} {'requests':>8}  {title}, with examples"]
     for name, found in shown:
-        worst = sorted(found, key=lambda loss: -loss.amount)[:MOST_EXAMPLES]
-        examples = " ".join(loss.identity for loss in worst)
-        lines.append(f"{_amount(found):7.1f} {len(found):8d}  {name}: {examples}")
+        worst = sorted(found, key=lambda loss: -loss.amount)[:MAX_EXAMPLES]
+        examples = " ".join(loss.attempt_id for loss in worst)
+        lines.append(f"{_total_amount(found):7.1f} {len(found):8d}  {name}: {examples}")
     if len(ranked) > len(shown):
-        rest = [loss for _, found in ranked[MOST_ROWS:] for loss in found]
-        lines.append(f"{_amount(rest):7.1f} {len(rest):8d}  ({len(ranked) - MOST_ROWS} more)")
+        rest = [loss for _, found in ranked[MAX_ROWS:] for loss in found]
+        lines.append(f"{_total_amount(rest):7.1f} {len(rest):8d}  ({len(ranked) - MAX_ROWS} more)")
     return lines
 
 
-def _amount(losses: Iterable[Loss]) -> float:
+def _total_amount(losses: Iterable[Loss]) -> float:
     return sum(loss.amount for loss in losses)
 
 
-def _why_failed(fields: dict[str, Any]) -> str:
-    detail = re.sub(r"\d+", "n", _IDENTITY.sub("", str(fields.get("detail", "")))).strip()
+def _failure_reason(fields: dict[str, Any]) -> str:
+    detail = re.sub(r"\d+", "n", _GENERATED_ID.sub("", str(fields.get("detail", "")))).strip()
     return f"{fields.get('status')} {fields.get('reason')}: {detail.partition(',')[0]}"
 
 
-def _why_partial(fields: dict[str, Any]) -> str:
+def _partial_reason(fields: dict[str, Any]) -> str:
     """Name what most of the missing shards waited for."""
     missing = fields.get("missing") or [_UNKNOWN]
-    clauses = [_IDENTITY.sub("a target", _SERVICE.sub("", str(clause))) for clause in missing]
+    clauses = [
+        _GENERATED_ID.sub("a target", _SERVICE_PREFIX.sub("", str(clause))) for clause in missing
+    ]
     clause, _ = collections.Counter(clauses).most_common(1)[0]
     return f"in part: {clause}"
--- a/src/lineworks/programs/_node_commands.py
+++ b/src/lineworks/programs/_node_commands.py
@@ -21,7 +21,7 @@
 """Those that take no argument."""
 
 
-def call_of(arguments: list[str]) -> tuple[str, str]:
+def method_and_path(arguments: list[str]) -> tuple[str, str]:
     """Tell which call carries a command out.
 
     Args:
@@ -35,7 +35,7 @@
     return "GET", f"/{arguments[0]}"
 
 
-def text_of(arguments: list[str], reply: dict[str, Any]) -> str:
+def format_reply(arguments: list[str], reply: dict[str, Any]) -> str:
     """Write what people read.
 
     Args:
@@ -45,17 +45,17 @@
     Returns:
         Some lines.
     """
-    writers: dict[str, Callable[[], str]] = {
-        SUSPECTS: lambda: _suspect_lines(reply["suspects"]),
+    formatters: dict[str, Callable[[], str]] = {
+        SUSPECTS: lambda: _format_suspects(reply["suspects"]),
         LIFT: lambda: f"lifted {arguments[1]}",
-        PLACEMENT: lambda: _placement_lines(reply),
-        QUOTAS: lambda: _quota_lines(reply),
-        WORKSPACES: lambda: _workspace_lines(reply),
+        PLACEMENT: lambda: _format_placement(reply),
+        QUOTAS: lambda: _format_quotas(reply),
+        WORKSPACES: lambda: _format_workspaces(reply),
     }
-    return writers[arguments[0]]()
+    return formatters[arguments[0]]()
 
 
-def _suspect_lines(rows: list[dict[str, Any]]) -> str:
+def _format_suspects(rows: list[dict[str, Any]]) -> str:
     lines = []
     for row in rows:
         lines.append(
@@ -68,7 +68,7 @@
     return "\n".join(lines) or "no suspects"
 
 
-def _placement_lines(reply: dict[str, Any]) -> str:
+def _format_placement(reply: dict[str, Any]) -> str:
     halls = ", ".join(reply["evacuated"]) or "none"
     lines = [
         f"configuration {reply['version']}, targets known {reply['view_age_seconds']} s ago",
@@ -88,7 +88,7 @@
     return "\n".join(lines)
 
 
-def _quota_lines(reply: dict[str, Any]) -> str:
+def _format_quotas(reply: dict[str, Any]) -> str:
     held = {row["workspace"]: row for row in reply["held"]}
     lines = []
     for row in reply["limits"]:
@@ -97,10 +97,10 @@
             f"{row['workspace']}: {row['rate']} a second and {row['burst']} besides; "
             f"in {reply['hall']} held by {holder}"
         )
-        mine = held.get(row["workspace"])
-        if mine is not None:
+        own = held.get(row["workspace"])
+        if own is not None:
             lines.append(
-                f"  here {mine['tokens']} tokens, {mine['share_of_rate']} of the hall's rate"
+                f"  here {own['tokens']} tokens, {own['share_of_rate']} of the hall's rate"
             )
     lines += [
         f"refused: {row['workspace']} {row['count']} times ({row['reason']})"
@@ -109,7 +109,7 @@
     return "\n".join(lines) or "no workspace has a quota"
 
 
-def _workspace_lines(reply: dict[str, Any]) -> str:
+def _format_workspaces(reply: dict[str, Any]) -> str:
     newer = ", a peer has a newer one" if reply["is_outdated"] else ""
     age = reply["age_seconds"]
     lines = [f"configuration {reply['version']}, known to be the newest {age} s ago{newer}"]
--- a/src/lineworks/programs/_node_logs.py
+++ b/src/lineworks/programs/_node_logs.py
@@ -35,12 +35,12 @@
         """
         self._reactor = reactor
         self._descriptor = descriptor
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._rest = b""
+        self._buffer: collections.deque[bytes] = collections.deque()
+        self._unwritten = b""
         self._timer: Any = None
         self.dropped = 0
         """Lines dropped so far."""
-        self._told = 0
+        self._reported_drops = 0
 
     def write(self, line: str) -> None:
         """Write a line, now or later, or drop it.
@@ -48,36 +48,36 @@
         Args:
             line: The line, without its end.
         """
-        if len(self._waiting) >= BUFFER_LINES:
+        if len(self._buffer) >= BUFFER_LINES:
             self.dropped += 1
             return
-        self._waiting.append(line.encode("utf-8", "replace") + b"\n")
+        self._buffer.append(line.encode("utf-8", "replace") + b"\n")
         if self._timer is None:
             self.flush()
 
     def flush(self) -> None:
         """Write as much as the pipe takes."""
         self._timer = None
-        while self._rest or self._waiting:
-            data = self._rest or self._waiting.popleft()
+        while self._unwritten or self._buffer:
+            data = self._unwritten or self._buffer.popleft()
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
                 written = 0
             except OSError as error:
                 # Nobody reads any more, so there is nowhere to report this to.
-                self.dropped += 1 + len(self._waiting)
-                self._waiting.clear()
-                self._rest = b""
+                self.dropped += 1 + len(self._buffer)
+                self._buffer.clear()
+                self._unwritten = b""
                 del error
                 return
-            self._rest = data[written:]
-            if self._rest:
+            self._unwritten = data[written:]
+            if self._unwritten:
                 self._timer = self._reactor.callLater(RETRY_SECONDS, self.flush)
                 return
-        if self.dropped > self._told:
-            count = self.dropped - self._told
-            self._told = self.dropped
+        if self.dropped > self._reported_drops:
+            count = self.dropped - self._reported_drops
+            self._reported_drops = self.dropped
             self.write(json.dumps({"event": "lines_dropped", "count": count}))
 
 
@@ -101,7 +101,7 @@
         self._log.error(event, error=error)
         self._writer.flush()
 
-    def note(self, event: str, detail: str) -> None:
+    def log_warning(self, event: str, detail: str) -> None:
         """Write what an operator should know."""
         self._log.warning(event, detail=detail)
 
@@ -136,7 +136,7 @@
         logger_factory=lambda *args: _WriterLogger(writer),
         cache_logger_on_first_use=True,
     )
-    sys.excepthook = lambda kind, value, trace: _on_uncaught(writer, kind, value)
+    sys.excepthook = lambda kind, value, trace: _log_uncaught(writer, kind, value)
     return NodeLogs(writer)
 
 
@@ -147,6 +147,6 @@
         self.debug = self.info = self.warning = self.error = self.critical = writer.write
 
 
-def _on_uncaught(writer: LineWriter, kind: type[BaseException], value: BaseException) -> None:
+def _log_uncaught(writer: LineWriter, kind: type[BaseException], value: BaseException) -> None:
     writer.write(json.dumps({"event": "uncaught", "error": f"{kind.__name__}: {value}"}))
     writer.flush()
--- a/src/lineworks/programs/_timeline.py
+++ b/src/lineworks/programs/_timeline.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Sequence
 
-_LEADING = ("t", "level", "component", "event", "id")
+_HEADER_FIELDS = ("t", "level", "component", "event", "id")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,10 +29,10 @@
     @property
     def time(self) -> float:
         """Seconds on the clock of the process that wrote it."""
-        return _log_lines.number(self.fields.get("t"))
+        return _log_lines.number_or_zero(self.fields.get("t"))
 
 
-def find(identity: str, name: str, lines: Iterable[str]) -> Iterator[Line]:
+def find(attempt_id: str, name: str, lines: Iterable[str]) -> Iterator[Line]:
     """Find the lines of a request in one log.
 
     Args:
@@ -44,12 +44,12 @@
         The lines in order.
     """
     for number, text in enumerate(lines, 1):
-        fields = _log_lines.fields_of(text) if identity in text else None
-        if fields is not None and fields.get("id") == identity:
+        fields = _log_lines.parse_line(text) if attempt_id in text else None
+        if fields is not None and fields.get("id") == attempt_id:
             yield Line(name, number, fields)
 
 
-def write(identity: str, found: Sequence[Line]) -> list[str]:
+def format_timeline(attempt_id: str, found: Sequence[Line]) -> list[str]:
     """Write a request's timeline.
 
     The clocks of processes are not comparable, so the lines are grouped by log.
@@ -62,15 +62,15 @@
         Lines for a person.
     """
     if not found:
-        return [f"{identity}: no line in these logs; good requests are logged by sample only"]
-    written = [f"{identity}: {len(found)} lines"]
+        return [f"{attempt_id}: no line in these logs; good requests are logged by sample only"]
+    output = [f"{attempt_id}: {len(found)} lines"]
     for line in sorted(found, key=lambda item: (item.source, item.time, item.number)):
         fields = line.fields
-        written.append(
+        output.append(
             f"{line.source}:{line.number} t={line.time:.4f} "
             f"{fields.get('component', '?')} {fields.get('event', '?')}"
         )
         for name, value in fields.items():
-            if name not in _LEADING and value not in ("", [], None):
-                written.append(f"    {name}: {value}")
-    return written
+            if name not in _HEADER_FIELDS and value not in ("", [], None):
+                output.append(f"    {name}: {value}")
+    return output
--- a/src/lineworks/programs/ctl.py
+++ b/src/lineworks/programs/ctl.py
@@ -75,7 +75,7 @@
 _ID = absl.flags.DEFINE_string("id", None, "Identity of the change; random when not given.")
 _AUTHOR = absl.flags.DEFINE_string("author", None, "Who makes the change.")
 
-TIMEOUT = 30.0
+TIMEOUT_SECONDS = 30.0
 """Seconds to wait for a reply."""
 
 
@@ -116,13 +116,13 @@
         signature = auth.sign(self._secret, method, path, body, time.time())
         headers = http_headers.Headers({auth.HEADER: [signature]})
         response = await self._http.request(
-            method, self._entry + path, data=body or None, headers=headers, timeout=TIMEOUT
+            method, self._entry + path, data=body or None, headers=headers, timeout=TIMEOUT_SECONDS
         )
         reply: dict[str, Any] = json.loads(await response.content())
         return response.code, reply
 
 
-def _read(path: str) -> configuration.ConfigurationFile:
+def _read_file(path: str) -> configuration.ConfigurationFile:
     try:
         return configuration.parse_file(pathlib.Path(path).read_bytes())
     except OSError as error:
@@ -149,7 +149,7 @@
 
 
 async def _apply(client: Client, path: str) -> int:
-    file = _read(path)
+    file = _read_file(path)
     change_id = _ID.value or secrets.token_hex(8)
     document = {
         "id": change_id,
@@ -173,7 +173,7 @@
     if status == 502:
         text = f"MAY_HAVE_RUN: {reply.get('detail')}; find out with: settle {change_id}"
         _print(reply, text)
-        return _common.EXIT_UNSURE
+        return _common.EXIT_UNKNOWN
     return _print_failure(status, reply)
 
 
@@ -184,7 +184,7 @@
 
 async def _validate(client: Client, path: str) -> int:
     del client
-    items = _read(path).items()
+    items = _read_file(path).items()
     try:
         puts = {key: text for key, text in items.items() if text is not None}
         configuration.build(puts, 1, "")
@@ -211,7 +211,7 @@
 
 
 async def _diff(client: Client, path: str) -> int:
-    items = _read(path).items()
+    items = _read_file(path).items()
     status, reply = await client.call("GET", "/v1/configuration")
     if status != 200:
         return _print_failure(status, reply)
@@ -266,7 +266,7 @@
     "trace": _trace,
 }
 
-_PLAIN: dict[str, Callable[[Client], Awaitable[int]]] = {
+_WITHOUT_ARGUMENT: dict[str, Callable[[Client], Awaitable[int]]] = {
     "show": _show,
     "status": _status,
     "drain": _drain,
@@ -277,16 +277,16 @@
 _LOSSES = "losses"
 
 
-def _show_timeline(identity: str, paths: list[str]) -> int:
+def _show_timeline(attempt_id: str, paths: list[str]) -> int:
     """Print a request's lines from logs; nothing is sent anywhere."""
     found: list[_timeline.Line] = []
     for path in paths:
         try:
             with open(path, encoding="utf-8", errors="replace") as lines:
-                found += _timeline.find(identity, pathlib.Path(path).name, lines)
+                found += _timeline.find(attempt_id, pathlib.Path(path).name, lines)
         except OSError as error:
             return _common.fail(f"{path}: {error.strerror}")
-    for line in _timeline.write(identity, found):
+    for line in _timeline.format_timeline(attempt_id, found):
         print(line)
     return _common.EXIT_OK if found else _common.EXIT_FAILED
 
@@ -301,21 +301,21 @@
                 found += reader.read(pathlib.Path(path).stem, lines)
         except OSError as error:
             return _common.fail(f"{path}: {error.strerror}")
-    for line in _losses.write(found, reader.left_out):
+    for line in _losses.format_tables(found, reader.left_out):
         print(line)
     return _common.EXIT_OK
 
 
-async def _ask_node(reactor: Any, arguments: list[str]) -> int:
+async def _run_node_command(reactor: Any, arguments: list[str]) -> int:
     """Ask an instance on the users' platform."""
     client = Client(reactor, _NODE.value, b"")
     try:
-        status, reply = await client.call(*_node_commands.call_of(arguments))
+        status, reply = await client.call(*_node_commands.method_and_path(arguments))
     except net_error.ConnectError as error:
         return _common.fail(f"{_NODE.value}: {error}", _common.EXIT_FAILED)
     if status != 200:
         return _print_failure(status, reply)
-    _print(reply, _node_commands.text_of(arguments, reply))
+    _print(reply, _node_commands.format_reply(arguments, reply))
     return _common.EXIT_OK
 
 
@@ -323,8 +323,8 @@
     client = Client(reactor, _ENTRY.value, secret)
     command = arguments[0]
     try:
-        if command in _PLAIN:
-            return await _PLAIN[command](client)
+        if command in _WITHOUT_ARGUMENT:
+            return await _WITHOUT_ARGUMENT[command](client)
         return await _WITH_ARGUMENT[command](client, arguments[1])
     except UsageError as error:
         return _common.fail(str(error))
@@ -334,14 +334,16 @@
 
 def _check_arguments(arguments: list[str]) -> str | None:
     """Say what is wrong with the arguments, or None."""
-    known = sorted((*_PLAIN, *_WITH_ARGUMENT, _TIMELINE, _LOSSES, *_node_commands.COMMANDS))
+    known = sorted(
+        (*_WITHOUT_ARGUMENT, *_WITH_ARGUMENT, _TIMELINE, _LOSSES, *_node_commands.COMMANDS)
+    )
     if not arguments or arguments[0] not in known:
         return f"give a command: {', '.join(known)} (see --help)"
     if arguments[0] == _TIMELINE:
         return None if len(arguments) > 2 else "timeline takes an identity and at least one file"
     if arguments[0] == _LOSSES:
         return None if len(arguments) > 1 else "losses takes at least one file"
-    without_argument = (*_PLAIN, *_node_commands.WITHOUT_ARGUMENT)
+    without_argument = (*_WITHOUT_ARGUMENT, *_node_commands.WITHOUT_ARGUMENT)
     wanted = 1 if arguments[0] in without_argument else 2
     if len(arguments) != wanted:
         return f"{arguments[0]} takes {wanted - 1} argument{'' if wanted == 2 else 's'}"
@@ -365,7 +367,7 @@
     if argv[1] == _LOSSES:
         return _show_losses(argv[2:])
     if argv[1] in _node_commands.COMMANDS:
-        return _start(lambda reactor: _ask_node(reactor, argv[1:]))
+        return _run_in_reactor(lambda reactor: _run_node_command(reactor, argv[1:]))
     secret = b""
     if argv[1] != "validate":
         if _SECRET_FILE.value is None:
@@ -374,10 +376,10 @@
             secret = pathlib.Path(_SECRET_FILE.value).read_bytes().strip()
         except OSError as error:
             return _common.fail(f"--secret_file: {error.strerror}")
-    return _start(lambda reactor: _execute(reactor, argv[1:], secret))
+    return _run_in_reactor(lambda reactor: _execute(reactor, argv[1:], secret))
 
 
-def _start(work: Callable[[Any], Awaitable[int]]) -> int:
+def _run_in_reactor(work: Callable[[Any], Awaitable[int]]) -> int:
     _common.set_up_logs("warning")
     from twisted.internet import reactor
 
--- a/src/lineworks/programs/demo.py
+++ b/src/lineworks/programs/demo.py
@@ -3,7 +3,7 @@
 A platform stand-in, the Consortium's score-finder over two halls and three instances talk over
 real TCP on loopback. Searches and unrepeatable part downloads run while one target straggles, one
 leaves, the index gets a new version and the configuration changes. The promises are checked from
-the callers' and the targets' own books.
+the callers' and the targets' own results.
 """
 
 from __future__ import annotations
@@ -41,15 +41,15 @@
 
 HALLS = ("auckland", "wellington")
 SECRET = "demo-secret"
-RATE = 25.0
+REQUESTS_PER_SECOND = 25.0
 DEADLINE_MS = 1500
-START_LIMIT = 10.0
-FINDER = shapes.Shape("score-finder", 20, 2, 2, 25, HALLS)
-LEDGER = shapes.Shape("part-shelf", 1, 4, 4, 100, HALLS)
+START_TIMEOUT = 10.0
+SCORE_FINDER = shapes.Shape("score-finder", 20, 2, 2, 25, HALLS)
+PART_SHELF = shapes.Shape("part-shelf", 1, 4, 4, 100, HALLS)
 NEXT_SNAPSHOT = catalog.Snapshot(2, catalog.BASE_LAYOUT)
 
 
-def _settings(name: str, hall: str, url: str) -> settings.Settings:
+def _instance_settings(name: str, hall: str, url: str) -> settings.Settings:
     document = {
         "name": name,
         "hall": hall,
@@ -61,7 +61,7 @@
     return settings.Settings.model_validate_json(json.dumps(document))
 
 
-class _Books:
+class _CallerResults:
     """What the callers saw."""
 
     def __init__(self) -> None:
@@ -71,19 +71,19 @@
         self.whole = 0
         self.partial = 0
         self.refused = 0
-        self.mixed = 0
-        self.crossed = 0
+        self.mixed_snapshots = 0
+        self.foreign_replies = 0
         self.late = 0
         self.versions: set[int] = set()
         self.snapshots: set[str] = set()
         self.verdicts: dict[str, int] = {}
         self.ran: list[str] = []
-        self.second_tries = 0
-        self.second_differ = 0
+        self.retries = 0
+        self.differing_retries = 0
         self.not_run: list[str] = []
         self.sample: dict[str, Any] | None = None
 
-    def take_search(self, cause: str, seconds: float, document: dict[str, Any]) -> None:
+    def record_search(self, request_name: str, seconds: float, document: dict[str, Any]) -> None:
         self.answered += 1
         found = document["verdict"]
         label = f"{found['certainty']} {found['reason']}"
@@ -100,25 +100,25 @@
         self.whole += not lacking
         self.partial += bool(lacking)
         stamps = [reply.split("|") for reply in document["replies"].values()]
-        self.crossed += any(stamp[0] != cause for stamp in stamps)
-        self.mixed += len({stamp[2] for stamp in stamps} | {document["snapshot"]}) > 1
+        self.foreign_replies += any(stamp[0] != request_name for stamp in stamps)
+        self.mixed_snapshots += len({stamp[2] for stamp in stamps} | {document["snapshot"]}) > 1
         self.sample = document
 
-    def take_second_try(self, first: dict[str, Any], second: dict[str, Any]) -> None:
-        self.second_tries += 1
+    def record_retry(self, first: dict[str, Any], second: dict[str, Any]) -> None:
+        self.retries += 1
         is_unknown = second["verdict"]["certainty"] == "MAY_HAVE_RUN"
         is_same = first.get("replies") == second.get("replies")
-        self.second_differ += not (is_same or is_unknown)
+        self.differing_retries += not (is_same or is_unknown)
 
-    def take_run(self, cause: str, document: dict[str, Any]) -> None:
+    def record_run(self, request_name: str, document: dict[str, Any]) -> None:
         self.answered += 1
         found = document["verdict"]
         label = f"run: {found['certainty']} {found['reason']}"
         self.verdicts[label] = self.verdicts.get(label, 0) + 1
         if found["certainty"] == "RAN":
-            self.ran.append(cause)
+            self.ran.append(request_name)
         elif found["certainty"] == "NOT_RUN":
-            self.not_run.append(cause)
+            self.not_run.append(request_name)
 
 
 class _Demo:
@@ -129,38 +129,42 @@
         self._console = console
         self._rng = random.Random(_SEED.value)
         times = target_model.ServiceTimes(median=0.008, sigma=0.4)
-        self._site = site.Site(reactor, (FINDER, LEDGER), times, _SEED.value)
+        self._site = site.Site(reactor, (SCORE_FINDER, PART_SHELF), times, _SEED.value)
         pool: Any = web_client.HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = 64
         agent: Any = web_client.Agent(reactor, pool=pool)
         self._pool = pool
         self._http = treq.client.HTTPClient(agent)
-        self._entries: list[instance.Instance] = []
-        self._books = _Books()
+        self._instances: list[instance.Instance] = []
+        self._results = _CallerResults()
 
     async def run(self) -> int:
         self._site.listen("127.0.0.1")
         for name, hall in (("a1", HALLS[0]), ("w1", HALLS[1]), ("w2", HALLS[1])):
-            entry = instance.Instance(self._reactor, _settings(name, hall, self._site.platform.url))
-            await entry.start()
-            self._entries.append(entry)
-        first = await self._change({"services": self._site.services(), **_rules(0.5)}, base=0)
+            tier_instance = instance.Instance(
+                self._reactor, _instance_settings(name, hall, self._site.platform.url)
+            )
+            await tier_instance.start()
+            self._instances.append(tier_instance)
+        first = await self._apply_change(
+            {"services": self._site.services(), **_selectors_and_classes(0.5)}, base=0
+        )
         self._console.print(f"configuration {first['outcome']}, version {first['version']}")
         await self._until_ready()
-        await self._drive()
-        second_version = max(self._books.versions, default=0)
-        self._report()
-        failed = self._check(second_version)
-        for entry in self._entries:
-            await entry.stop()
+        await self._send_requests()
+        second_version = max(self._results.versions, default=0)
+        self._print_report()
+        failed = self._check_guarantees(second_version)
+        for tier_instance in self._instances:
+            await tier_instance.stop()
         await self._pool.closeCachedConnections()
         await self._site.close()
         return _common.EXIT_FAILED if failed else _common.EXIT_OK
 
-    async def _change(self, file: dict[str, Any], base: int) -> dict[str, Any]:
+    async def _apply_change(self, file: dict[str, Any], base: int) -> dict[str, Any]:
         change = {"id": f"demo-{base}", "author": "demo", "base": base, "file": file}
         body = json.dumps(change).encode()
-        port = self._entries[0].operator_port
+        port = self._instances[0].operator_port
         header = auth.sign(SECRET.encode(), "POST", "/v1/changes", body, time.time())
         response = await self._http.post(
             f"http://127.0.0.1:{port}/v1/changes",
@@ -172,28 +176,28 @@
 
     async def _until_ready(self) -> None:
         """Wait until every instance can serve every shard."""
-        limit = self._reactor.seconds() + START_LIMIT
+        limit = self._reactor.seconds() + START_TIMEOUT
         while self._reactor.seconds() < limit:
-            if all(self._is_whole(entry) for entry in self._entries):
+            if all(self._is_ready(tier_instance) for tier_instance in self._instances):
                 return
             await task.sleep(self._reactor, 0.05)
         raise RuntimeError("the instances did not become ready in time")
 
-    def _is_whole(self, entry: instance.Instance) -> bool:
-        view = entry.core.view
+    def _is_ready(self, tier_instance: instance.Instance) -> bool:
+        view = tier_instance.core.view
         services = view.config.services.values()
         return bool(services) and all(view.held_snapshots(service.name) for service in services)
 
-    async def _drive(self) -> None:
+    async def _send_requests(self) -> None:
         """Send all requests by a clock of arrivals, never waiting for answers."""
         total = _SEARCHES.value + _RUNS.value
         kinds = ["search"] * _SEARCHES.value + ["run"] * _RUNS.value
         self._rng.shuffle(kinds)
         waiting: list[defer.Deferred[None]] = []
         steps = {
-            total // 5: self._straggle,
-            2 * total // 5: self._leave,
-            total // 2: self._reversion,
+            total // 5: self._stall_target,
+            2 * total // 5: self._make_target_leave,
+            total // 2: self._replace_snapshot,
             7 * total // 10: self._reconfigure,
         }
         with self._progress() as progress:
@@ -202,10 +206,10 @@
                 step = steps.get(number)
                 if step is not None:
                     waiting.append(defer.ensureDeferred(step()))
-                call = self._search if kind == "search" else self._run_part
+                call = self._search if kind == "search" else self._download_part
                 waiting.append(defer.ensureDeferred(call(number)))
                 progress.advance(bar)
-                await task.sleep(self._reactor, self._rng.expovariate(RATE))
+                await task.sleep(self._reactor, self._rng.expovariate(REQUESTS_PER_SECOND))
             await defer.gatherResults(waiting)
 
     def _progress(self) -> rich.progress.Progress:
@@ -213,56 +217,56 @@
             console=self._console, transient=True, disable=not self._console.is_terminal
         )
 
-    async def _straggle(self) -> None:
+    async def _stall_target(self) -> None:
         self._site.targets["score-finder-003-a"].model.stall(1.5)
 
-    async def _leave(self) -> None:
+    async def _make_target_leave(self) -> None:
         self._site.targets["score-finder-007-b"].model.leave()
 
-    async def _reversion(self) -> None:
+    async def _replace_snapshot(self) -> None:
         """Load the new version everywhere, then drop the old one."""
         self._site.hold(frozenset({site.FIRST_SNAPSHOT, NEXT_SNAPSHOT}))
         await task.sleep(self._reactor, 1.2)
         self._site.hold(frozenset({NEXT_SNAPSHOT}))
 
     async def _reconfigure(self) -> None:
-        version = self._entries[0].keeper.version
-        await self._change(_rules(0.6), base=version)
+        version = self._instances[0].keeper.version
+        await self._apply_change(_selectors_and_classes(0.6), base=version)
 
     async def _search(self, number: int) -> None:
-        cause = f"search-{number}"
+        request_name = f"search-{number}"
         body = {
             "fields": {"kind": "repertoire"},
             "class": "librarian",
             "workspace": "choir",
             "deadline_ms": DEADLINE_MS,
-            "body": f"{cause}|anthem",
+            "body": f"{request_name}|anthem",
         }
         seconds, document = await self._post("/v1/search", body, {})
-        self._books.take_search(cause, seconds, document)
+        self._results.record_search(request_name, seconds, document)
 
-    async def _run_part(self, number: int) -> None:
-        cause = f"run-{number}"
+    async def _download_part(self, number: int) -> None:
+        request_name = f"run-{number}"
         body = {
             "service": "part-shelf-000",
             "class": "librarian",
             "workspace": "choir",
             "deadline_ms": DEADLINE_MS,
             "unrepeatable": True,
-            "body": f"{cause}|part",
+            "body": f"{request_name}|part",
         }
-        _, document = await self._post("/v1/run", body, {"Idempotency-Key": cause})
-        self._books.take_run(cause, document)
+        _, document = await self._post("/v1/run", body, {"Idempotency-Key": request_name})
+        self._results.record_run(request_name, document)
         # The caller asks again through another instance, as after a lost connection.
-        _, again = await self._post("/v1/run", body, {"Idempotency-Key": cause})
-        self._books.sent -= 1
-        self._books.take_second_try(document, again)
+        _, again = await self._post("/v1/run", body, {"Idempotency-Key": request_name})
+        self._results.sent -= 1
+        self._results.record_retry(document, again)
 
     async def _post(
         self, path: str, body: dict[str, Any], headers: dict[str, str]
     ) -> tuple[float, dict[str, Any]]:
-        self._books.sent += 1
-        port = self._entries[self._books.sent % len(self._entries)].caller_port
+        self._results.sent += 1
+        port = self._instances[self._results.sent % len(self._instances)].caller_port
         started = self._reactor.seconds()
         response = await self._http.post(
             f"http://127.0.0.1:{port}{path}",
@@ -272,74 +276,77 @@
         document: dict[str, Any] = json.loads(await response.content())
         return self._reactor.seconds() - started, document
 
-    def _report(self) -> None:
-        books = self._books
-        if books.sample is not None:
-            sample = {**books.sample, "replies": dict(list(books.sample["replies"].items())[:2])}
+    def _print_report(self) -> None:
+        results = self._results
+        if results.sample is not None:
+            sample = {
+                **results.sample,
+                "replies": dict(list(results.sample["replies"].items())[:2]),
+            }
             self._console.print("one answer (two of its replies shown):")
             self._console.print_json(json.dumps(sample))
         table = rich.table.Table(title="searches")
         for column in ("p50 ms", "p99 ms", "max ms", "whole", "partial", "refused", "extra load"):
             table.add_column(column, justify="right")
-        quantiles = [books.latency.get_value_at_percentile(p) / 1000 for p in (50, 99, 100)]
+        quantiles = [results.latency.get_value_at_percentile(p) / 1000 for p in (50, 99, 100)]
         table.add_row(
             *(f"{value:.1f}" for value in quantiles),
-            str(books.whole),
-            str(books.partial),
-            str(books.refused),
+            str(results.whole),
+            str(results.partial),
+            str(results.refused),
             f"{self._extra_load():.2%}",
         )
         self._console.print(table)
-        self._console.print(f"verdicts: {books.verdicts}")
+        self._console.print(f"verdicts: {results.verdicts}")
 
     def _extra_load(self) -> float:
-        """Compute starts beyond one for each sub-query, from the targets' books."""
+        """Compute starts beyond one for each sub-query, from the targets' results."""
         started = [target.model.books.started for target in self._site.targets.values()]
         total: dict[str, int] = {}
         for book in started:
-            for cause, count in book.items():
-                if cause.startswith("search-"):
-                    total[cause] = total.get(cause, 0) + count
+            for request_name, count in book.items():
+                if request_name.startswith("search-"):
+                    total[request_name] = total.get(request_name, 0) + count
         return sum(count - 1 for count in total.values()) / max(1, len(total))
 
     def _run_starts(self) -> dict[str, int]:
         total: dict[str, int] = {}
         for target in self._site.targets.values():
-            for cause, count in target.model.books.started.items():
-                if cause.startswith("run-"):
-                    name = cause.partition("/")[0]
+            for request_name, count in target.model.books.started.items():
+                if request_name.startswith("run-"):
+                    name = request_name.partition("/")[0]
                     total[name] = total.get(name, 0) + count
         return total
 
-    def _check(self, last_version: int) -> bool:
+    def _check_guarantees(self, last_version: int) -> bool:
         """Check the promises and print a line for each.
 
         Returns:
             Whether any was broken.
         """
-        books = self._books
+        results = self._results
         starts = self._run_starts()
         servers = self._site.targets.values()
         checks = {
-            "every request was answered": (books.sent - books.answered, books.sent),
-            "no answer came after its deadline": (books.late, books.answered),
-            "no answer mixes snapshots": (books.mixed, books.whole + books.partial),
-            "no answer holds another caller's reply": (books.crossed, books.whole),
+            "every request was answered": (results.sent - results.answered, results.sent),
+            "no answer came after its deadline": (results.late, results.answered),
+            "no answer mixes snapshots": (results.mixed_snapshots, results.whole + results.partial),
+            "no answer holds another caller's reply": (results.foreign_replies, results.whole),
             "no unrepeatable request ran twice": (
                 sum(1 for count in starts.values() if count > 1),
                 len(starts),
             ),
             "what was refused as not run did not run": (
-                sum(1 for cause in books.not_run if starts.get(cause)),
-                len(books.not_run),
+                sum(1 for request_name in results.not_run if starts.get(request_name)),
+                len(results.not_run),
             ),
             "what is said to have run did run": (
-                sum(1 for cause in books.ran if not starts.get(cause)),
-                len(books.ran),
+                sum(1 for request_name in results.ran if not starts.get(request_name)),
+                len(results.ran),
             ),
             "a second try with the same key got the first outcome": (
-                books.second_differ,
-                books.second_tries,
+                results.differing_retries,
+                results.retries,
             ),
             "a leaving target got no new work after 3 s": (
                 sum(server.model.books.started_after_leaving for server in servers),
@@ -349,9 +356,9 @@
                 sum(server.refused_connections for server in servers),
                 len(self._site.targets),
             ),
-            "the new snapshot was served": (int(str(NEXT_SNAPSHOT) not in books.snapshots), 1),
+            "the new snapshot was served": (int(str(NEXT_SNAPSHOT) not in results.snapshots), 1),
             "the new configuration came in force": (int(last_version != 2), 1),
-            "searches were answered whole": (int(books.whole < 0.95 * _SEARCHES.value), 1),
+            "searches were answered whole": (int(results.whole < 0.95 * _SEARCHES.value), 1),
         }
         for text, (broken, counted) in checks.items():
             word = "held  " if not broken else "BROKEN"
@@ -359,11 +366,11 @@
         return any(broken for broken, _ in checks.values())
 
 
-def _rules(target_latency: float) -> dict[str, Any]:
+def _selectors_and_classes(target_latency: float) -> dict[str, Any]:
     policy = {"target_latency_ms": target_latency * 1000}
     selector = {
         "match": {"kind": "repertoire"},
-        "group": {"app": FINDER.app},
+        "group": {"app": SCORE_FINDER.app},
         "policy": policy,
     }
     return {"selectors": {"repertoire": selector}, "classes": {"librarian": {"weight": 2.0}}}
--- a/src/lineworks/programs/entry.py
+++ b/src/lineworks/programs/entry.py
@@ -18,9 +18,9 @@
 
 
 async def _serve(reactor: Any, options: settings.Settings) -> int:
-    entry = instance.Instance(reactor, options)
+    tier_instance = instance.Instance(reactor, options)
     try:
-        await entry.start()
+        await tier_instance.start()
     except net_error.CannotListenError as error:
         for key in ("caller", "operator", "peer"):
             if getattr(options, key).port == error.port:
@@ -28,11 +28,11 @@
         return _common.fail(f"port {error.port} is in use")
 
     def on_signal(number: int, frame: Any) -> None:
-        reactor.callFromThread(entry.life.stop_asked)
+        reactor.callFromThread(tier_instance.life.stop_asked)
 
     signal.signal(signal.SIGTERM, on_signal)
     signal.signal(signal.SIGINT, on_signal)
-    await entry.stopped
+    await tier_instance.stopped
     return _common.EXIT_OK
 
 
--- a/src/lineworks/programs/load.py
+++ b/src/lineworks/programs/load.py
@@ -35,17 +35,17 @@
 _SEED = absl.flags.DEFINE_integer("seed", 1, "Seed of the arrivals.")
 _JSON = absl.flags.DEFINE_bool("json", False, "Print figures as JSON.")
 
-GRACE = 2.0
+GRACE_SECONDS = 2.0
 """Seconds after its deadline at which a search without an answer counts as lost."""
 
-_PASS_ON = ("leaving", "not_ready")
+_TRY_NEXT_REASONS = ("leaving", "not_ready")
 """Refusals after which a balancer asks another instance; both say that nothing ran."""
 
 _QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 @dataclasses.dataclass
-class _ClassFigures:
+class _ClassStatistics:
     """What the callers of one class saw."""
 
     latency: Any = dataclasses.field(
@@ -74,7 +74,7 @@
         }
 
 
-class _Load:
+class _LoadRun:
     """One run of load."""
 
     def __init__(self, reactor: Any, shares: dict[str, float], fields: dict[str, str]) -> None:
@@ -82,7 +82,7 @@
         self._rng = random.Random(_SEED.value)
         self._shares = shares
         self._fields = fields
-        self._figures = {name: _ClassFigures() for name in shares}
+        self._figures = {name: _ClassStatistics() for name in shares}
         self._shards = 0
         pool: Any = web_client.HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = 256
@@ -91,7 +91,7 @@
         self._http = treq.client.HTTPClient(agent)
 
     async def run(self) -> int:
-        before = await self._books()
+        before = await self._count_target_starts()
         waiting = []
         end = self._reactor.seconds() + _SECONDS.value
         due = self._reactor.seconds()
@@ -104,7 +104,7 @@
             due += self._rng.expovariate(_RATE.value)
             await task.sleep(self._reactor, max(0.0, due - self._reactor.seconds()))
         await defer.gatherResults(waiting)
-        self._print(before, await self._books())
+        self._print(before, await self._count_target_starts())
         await self._pool.closeCachedConnections()
         broken = sum(figures.lost + figures.late for figures in self._figures.values())
         return _common.EXIT_FAILED if broken else _common.EXIT_OK
@@ -125,7 +125,7 @@
             label = type(error).__name__
             figures.verdicts[label] = figures.verdicts.get(label, 0) + 1
             return
-        self._take(figures, document, self._reactor.seconds() - due)
+        self._record(figures, document, self._reactor.seconds() - due)
 
     async def _post(self, number: int, body: dict[str, Any], due: float) -> dict[str, Any]:
         """Ask one entry after another until one takes the search, as a balancer would.
@@ -133,7 +133,7 @@
         Each is given the time that is left since the search was due.
         """
         entries = _ENTRIES.value
-        limit = _DEADLINE.value / 1000 + GRACE
+        limit = _DEADLINE.value / 1000 + GRACE_SECONDS
         for step in range(len(entries)):
             entry = entries[(number + step) % len(entries)]
             is_last = step == len(entries) - 1
@@ -147,24 +147,24 @@
                     raise
                 continue
             document: dict[str, Any] = json.loads(await response.content())
-            if is_last or document["verdict"]["reason"] not in _PASS_ON:
+            if is_last or document["verdict"]["reason"] not in _TRY_NEXT_REASONS:
                 return document
         raise AssertionError("there is always a last entry")
 
-    def _take(self, figures: _ClassFigures, document: dict[str, Any], seconds: float) -> None:
+    def _record(self, figures: _ClassStatistics, document: dict[str, Any], seconds: float) -> None:
         found = document["verdict"]
         label = f"{found['certainty']} {found['reason']}"
         figures.verdicts[label] = figures.verdicts.get(label, 0) + 1
         figures.late += seconds * 1000 > _DEADLINE.value + 50
         if "coverage" in document:
-            reached = document["coverage"]
-            self._shards += len(reached["covered"]) + len(reached["lacking"])
+            coverage = document["coverage"]
+            self._shards += len(coverage["covered"]) + len(coverage["lacking"])
         if found["reason"] == "ok":
             figures.answered += 1
             figures.coverage += document["coverage"]["share"]
             figures.latency.record_value(int(seconds * 1e6))
 
-    async def _books(self) -> int:
+    async def _count_target_starts(self) -> int:
         """Add up the starts that the targets counted."""
         total = 0
         for url in _TARGETS.value:
@@ -220,7 +220,7 @@
     _common.set_up_logs("warning")
     from twisted.internet import reactor
 
-    load = _Load(reactor, shares, fields)
+    load = _LoadRun(reactor, shares, fields)
     return _common.run_reactor(reactor, load.run)
 
 
--- a/src/lineworks/programs/node.py
+++ b/src/lineworks/programs/node.py
@@ -48,7 +48,7 @@
     gc.disable()
     try:
         settings = _load_settings()
-        callers = _open_callers(settings)
+        callers = _open_caller_port(settings)
     except (platform_settings.SettingsError, OSError) as error:
         return _fail_early(error)
     return _run(settings, callers)
@@ -63,7 +63,7 @@
     return dataclasses.replace(platform_settings.load(), without=without)
 
 
-def _open_callers(settings: node_settings.NodeSettings) -> early_acceptor.EarlyAcceptor:
+def _open_caller_port(settings: node_settings.NodeSettings) -> early_acceptor.EarlyAcceptor:
     """Let callers connect while the rest is imported."""
     opened = listening.open_port(settings.callers.host, settings.callers.port)
     callers = early_acceptor.EarlyAcceptor(opened, headers.budget_of_head)
@@ -135,7 +135,7 @@
         reactor.callFromThread(process.stop)
 
     def on_reload(number: int, frame: Any) -> None:
-        reactor.callFromThread(_check_settings, logs)
+        reactor.callFromThread(_validate_changed_settings, logs)
 
     signal.signal(signal.SIGTERM, on_stop)
     signal.signal(signal.SIGINT, on_stop)
@@ -152,14 +152,14 @@
         signal.signal(number, signal.SIG_IGN)
 
 
-def _check_settings(logs: Any) -> None:
+def _validate_changed_settings(logs: Any) -> None:
     """Look at changed settings; addresses and limits hold until the next start."""
     try:
         platform_settings.load()
     except platform_settings.SettingsError as error:
-        logs.note("settings_refused", str(error))
+        logs.log_warning("settings_refused", str(error))
     else:
-        logs.note("settings_read", "what changed holds from the next start on")
+        logs.log_warning("settings_read", "what changed holds from the next start on")
 
 
 if __name__ == "__main__":
--- a/src/lineworks/programs/standin.py
+++ b/src/lineworks/programs/standin.py
@@ -32,35 +32,37 @@
 _MEDIAN = absl.flags.DEFINE_float("median_ms", 8.0, "Median service time.", lower_bound=0.01)
 _STRAGGLERS = absl.flags.DEFINE_float("stragglers", 0.01, "Share of stragglers.", 0.0, 1.0)
 _SEED = absl.flags.DEFINE_integer("seed", 1, "Seed of the service times.")
-_WRITE = absl.flags.DEFINE_string(
+_WRITE_CONFIGURATION = absl.flags.DEFINE_string(
     "write_configuration", None, "File to write the services to, for `lineworks-ctl apply`."
 )
 
 
-def _configuration(made: site.Site) -> dict[str, Any]:
+def _configuration(standin_site: site.Site) -> dict[str, Any]:
     selector = {
         "match": {"kind": "repertoire"},
         "group": {"app": _APP.value},
         "policy": {"target_latency_ms": 300.0},
     }
     return {
-        "services": made.services(),
+        "services": standin_site.services(),
         "selectors": {"repertoire": selector},
         "classes": {"librarian": {"weight": 2.0}, "browser": {"weight": 1.0}},
     }
 
 
-async def _serve(reactor: Any, made: site.Site) -> int:
+async def _serve(reactor: Any, standin_site: site.Site) -> int:
     try:
-        made.listen(_HOST.value, _PLATFORM_PORT.value, _TARGET_PORT.value)
+        standin_site.listen(_HOST.value, _PLATFORM_PORT.value, _TARGET_PORT.value)
     except net_error.CannotListenError as error:
         return _common.fail(f"port {error.port} is in use")
-    if _WRITE.value:
-        text = json.dumps(_configuration(made), indent=1)
-        path = pathlib.Path(_WRITE.value)
+    if _WRITE_CONFIGURATION.value:
+        text = json.dumps(_configuration(standin_site), indent=1)
+        path = pathlib.Path(_WRITE_CONFIGURATION.value)
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(text + "\n")
-    print(f"platform at {made.platform.url}, {len(made.targets)} targets", flush=True)
+    print(
+        f"platform at {standin_site.platform.url}, {len(standin_site.targets)} targets", flush=True
+    )
     stopped: defer.Deferred[None] = defer.Deferred()
 
     def stop() -> None:
@@ -101,8 +103,8 @@
     times = target_model.ServiceTimes(
         median=_MEDIAN.value / 1000, straggler_share=_STRAGGLERS.value
     )
-    made = site.Site(reactor, (shape,), times, _SEED.value)
-    return _common.run_reactor(reactor, lambda: _serve(reactor, made))
+    standin_site = site.Site(reactor, (shape,), times, _SEED.value)
+    return _common.run_reactor(reactor, lambda: _serve(reactor, standin_site))
 
 
 def run() -> None:
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -11,10 +11,10 @@
 STARTED = {"event": "started", "name": "a1", "hall": "akl", "t": 1.0}
 
 
-def request(identity, **fields):
+def request(attempt_id, **fields):
     usual = {
         "event": "request",
-        "id": identity,
+        "id": attempt_id,
         "route": "sweep",
         "status": 200,
         "ms": 50.0,
@@ -53,11 +53,11 @@
         request("q2", ms=300.0, workspace=None),
     )
     assert [loss.workspace for loss in found] == ["north", ""]
-    text = "\n".join(_losses.write(found, 0))
+    text = "\n".join(_losses.format_tables(found, 0))
     assert "workspace, with examples" in text
     assert "north: q1" in text
     assert "none: q2" in text
-    assert "workspace" not in "\n".join(_losses.write(found[1:], 0))
+    assert "workspace" not in "\n".join(_losses.format_tables(found[1:], 0))
 
 
 def test_what_is_lost_by_failure_lateness_and_missing_shards():
@@ -67,7 +67,7 @@
         request("q2", ms=201.0),
         request("q3", covered=9, missing=["s01: waiting for i-7f3a91c2 after 1 sent"]),
     )
-    assert [(loss.identity, round(loss.amount, 2)) for loss in found] == [
+    assert [(loss.attempt_id, round(loss.amount, 2)) for loss in found] == [
         ("q1", 1.0),
         ("q2", 0.9),
         ("q3", 0.19),
--- a/tests/test_placement_view.py
+++ b/tests/test_placement_view.py
@@ -29,7 +29,7 @@
     assert by_route["home"]["regions"] == ["akl"]
     assert by_route["home"]["without_target"] == ["shelf"]
     assert by_route["homesearch"]["services"] == len(test_forwarding.SHARDS)
-    text = _node_commands.text_of(["placement"], found)
+    text = _node_commands.format_reply(["placement"], found)
     assert "evacuated halls: akl" in text
     assert "route home: only in akl" in text
     assert "1 of 1 services have no target there: shelf" in text
@@ -43,7 +43,7 @@
     (row,) = view_of(world)["cold"]
     assert (row["target"], row["service"], row["hall"]) == (shelf.name, "shelf", shelf.hall)
     assert 0 < row["share_a_second"] <= 11
-    text = _node_commands.text_of(["placement"], view_of(world))
+    text = _node_commands.format_reply(["placement"], view_of(world))
     assert f"cold: shelf/{shelf.name} in {shelf.hall}" in text
 
 
--- a/tests/test_quota_deployment.py
+++ b/tests/test_quota_deployment.py
@@ -99,7 +99,7 @@
     assert any(view["held"] for view in found.values())
     refusals = [row for view in found.values() for row in view["refusals"]]
     assert {(row["workspace"], row["reason"]) for row in refusals} == {("clinic", "over_quota")}
-    texts = [_node_commands.text_of(["quotas"], view) for view in found.values()]
+    texts = [_node_commands.format_reply(["quotas"], view) for view in found.values()]
     assert all("clinic: 2.0 a second and 2.0 besides" in text for text in texts)
     assert any("of the hall's rate" in text for text in texts)
     assert any("refused: clinic" in text for text in texts)
@@ -115,7 +115,7 @@
     made.run(0.2)
     view = json.loads(reply.body)
     assert view["limits"] == view["held"] == view["refusals"] == []
-    assert _node_commands.text_of(["quotas"], view) == "no workspace has a quota"
+    assert _node_commands.format_reply(["quotas"], view) == "no workspace has a quota"
 
 
 def test_refusals_are_counted_for_a_bounded_number_of_workspaces(world, monkeypatch):
--- a/tests/test_workspace_view.py
+++ b/tests/test_workspace_view.py
@@ -39,7 +39,7 @@
     assert found["version"] == 1
     assert not found["is_outdated"]
     assert [row["keys"] for row in found["workspaces"]] == [2, 1]
-    text = _node_commands.text_of(["workspaces"], found)
+    text = _node_commands.format_reply(["workspaces"], found)
     assert "routes that need no key: open" in text
     assert "north: keys 2, priority 0, only in akl, nowhere" in text
     assert "the deployment has no region nowhere" in text
@@ -56,7 +56,7 @@
 
 
 def test_it_tells_where_requests_need_no_key():
-    text = _node_commands.text_of(["workspaces"], view_of(build()))
+    text = _node_commands.format_reply(["workspaces"], view_of(build()))
     assert "no workspaces: requests need no key" in text
 
 
