--- a/src/lineworks/programs/__init__.py
+++ b/src/lineworks/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The command line programs."""
+"""The command-line programs."""
--- a/src/lineworks/programs/_common.py
+++ b/src/lineworks/programs/_common.py
@@ -1,4 +1,4 @@
-"""What the programs share: logs, and running a reactor."""
+"""Helpers that the programs share: exit codes, logging and running the reactor."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
     from collections.abc import Awaitable, Callable
 
 EXIT_OK = 0
-"""Everything was done."""
+"""The command succeeded."""
 
 EXIT_FAILED = 1
-"""The work was tried and did not succeed."""
+"""The command was attempted and failed."""
 
 EXIT_USAGE = 2
-"""The arguments, the settings or a file cannot be used; nothing was tried."""
+"""The arguments, the settings or a file are invalid; nothing was attempted."""
 
 EXIT_REFUSED = 3
-"""The request was refused and did not run."""
+"""The request was rejected and was not executed."""
 
 EXIT_UNKNOWN = 4
-"""It is not known whether the request ran."""
+"""It is unknown whether the request was executed."""
 
 
 def set_up_logs(level: str) -> None:
-    """Write logs as JSON lines to standard error.
+    """Configure structlog to write JSON lines to standard error.
 
     Args:
-        level: Least level that is written.
+        level: Minimum level to log, for example "warning".
     """
     number = logging.getLevelNamesMapping()[level.upper()]
     structlog.configure(
@@ -48,28 +48,30 @@
 
 
 def fail(message: str, code: int = EXIT_USAGE) -> int:
-    """Write one line of error.
+    """Print an error message to standard error.
 
     Args:
-        message: What is wrong.
-        code: The exit code.
+        message: The error message.
+        code: The exit code to return.
 
     Returns:
-        The exit code.
+        The given exit code.
     """
     print(f"error: {message}", file=sys.stderr)
     return code
 
 
 def run_reactor(reactor: Any, work: Callable[[], Awaitable[int]]) -> int:
-    """Run the reactor until some work is done.
+    """Run the reactor until a coroutine has finished.
+
+    An exception in it is printed with its traceback and results in `EXIT_FAILED`.
 
     Args:
         reactor: Twisted's reactor.
-        work: The work; it returns the exit code.
+        work: Called once the reactor runs; its awaited result is the exit code.
 
     Returns:
-        The exit code.
+        The exit code; `EXIT_FAILED` when the reactor stopped before the work was done.
     """
     codes: list[int] = []
 
--- a/src/lineworks/programs/_log_lines.py
+++ b/src/lineworks/programs/_log_lines.py
@@ -1,4 +1,4 @@
-"""Reads the lines of instances' logs: JSON objects, perhaps behind what a collector put there."""
+"""Parses lines of instances' logs: JSON objects, optionally behind a log collector's prefix."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 def parse_line(text: str) -> dict[str, Any] | None:
-    """Read a line.
+    """Parse a log line.
 
     Args:
-        text: The line; what stands before the first brace is passed over.
+        text: The line; anything before the first opening brace is ignored.
 
     Returns:
-        Its fields, or None when it is no log line.
+        The line's fields, or None if it holds no JSON object.
     """
     start = text.find("{")
     if start < 0:
@@ -26,5 +26,5 @@
 
 
 def number_or_zero(value: Any) -> float:
-    """Read a field that should be a number; 0 when it is none."""
+    """Return a field's value as a float, or 0 if it is not a number."""
     return float(value) if isinstance(value, int | float) else 0.0
--- a/src/lineworks/programs/_losses.py
+++ b/src/lineworks/programs/_losses.py
@@ -1,8 +1,9 @@
-"""Tells from the logs of instances where requests went badly: which, where, when and why.
+"""Reports from instances' logs which requests failed, were late or incomplete, and where and why.
 
-A request that was not answered counts as lost whole, a late one nearly so, and a search without
-some of its shards by the square of the share that it covered. Only what is logged can be counted:
-lines left out for their number are told apart.
+Each such request loses a part of its value to the caller: an unanswered request all of it, a late
+one most of it, and a search that lacks shards 1 minus the square of the fraction of shards covered.
+Only logged requests can be counted; log lines that were suppressed by rate limiting are counted
+separately.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
     from collections.abc import Iterable, Iterator, Sequence
 
 LATE_LOSS = 0.9
-"""Part of a request's use that is lost when it is answered after its aim: callers mostly have gone
-on by then."""
+"""Fraction of a request's value that is lost when its answer misses the latency target: by then
+most callers have moved on."""
 
 MAX_ROWS = 12
-"""Rows that a table shows at most."""
+"""Maximum number of rows in a table."""
 
 MAX_EXAMPLES = 3
-"""Identities of requests that a row names at most."""
+"""Maximum number of example requests in a row."""
 
 _GENERATED_ID = re.compile(r"\b[a-z]+-[0-9a-f]{4,}\b")
 _SERVICE_PREFIX = re.compile(r"^\S+: ")
@@ -33,7 +34,7 @@
 _UNKNOWN = "?"
 
 _UNCOUNTED_STATUSES = (401, 404, 429)
-"""Status of answers to an unknown key, to an unknown route, and to what is over a quota."""
+"""HTTP statuses that count as no loss: unknown key, unknown route, quota exceeded."""
 
 _NO_WORKSPACE = "none"
 
@@ -42,50 +43,54 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Loss:
-    """A request that went badly."""
+    """A request that failed, was late or was answered incompletely."""
 
     attempt_id: str
-    """The caller's identity of the try."""
+    """The caller's ID of the attempt."""
 
     route: str
-    """Its route; a question mark where none was known yet."""
+    """The route, or a question mark if it was not determined."""
 
     workspace: str
-    """Its workspace; empty where the line names none."""
+    """The workspace; empty if the log line names none."""
 
     hall: str
-    """Data hall of its instance."""
+    """Data hall of the instance, or a question mark if the log does not tell."""
 
     second: int
-    """When it ended, in seconds on the log's clock."""
+    """Time at which the request ended, in whole seconds on the log's clock."""
 
     reason: str
-    """Why, in a few words."""
+    """Short description of the cause."""
 
     amount: float
-    """Part of its use that was lost, from 0 to 1."""
+    """Fraction of the request's value that was lost, from 0 to 1."""
 
 
 class LossReader:
-    """Reads logs one after the other; it remembers the halls of instances and what is left out."""
+    """Extracts losses from logs.
+
+    It keeps state across logs: the instances' data halls, the failed attempts and the number of
+    suppressed lines.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing read."""
+        """Create a reader that has read no logs."""
         self._halls: dict[str, str] = {}
         self._failed_attempts: set[str] = set()
         self.left_out = 0
-        """Lines on requests that the instances left out for their number."""
+        """Number of log lines about requests that the instances suppressed by rate limiting."""
 
     def read(self, name: str, lines: Iterable[str]) -> Iterator[Loss]:
-        """Read one log.
+        """Read a log.
 
         Args:
-            name: Name of the log, which stands for the instance where a line does not name one.
-            lines: Its lines. Each may begin with a time and the name of an instance; what is no
-                log line is passed over.
+            name: Name of the log, used as the instance's name for lines that name none.
+            lines: Lines of the log. Each may begin with a time in seconds and the name of an
+                instance; lines without a JSON object are skipped.
 
         Yields:
-            Requests that went badly.
+            The losses, in the order of the lines.
         """
         for text in lines:
             fields = _log_lines.parse_line(text)
@@ -107,7 +112,7 @@
         elif event == "caller_gone":
             return self._loss(instance, ended_at, fields, "the caller left", 1.0)
         elif event in ("cut_at_end", "answer_not_delivered"):
-            # A failure is lost once, also when its caller did not get it.
+            # A failed request counts as one loss, even if its answer was also not delivered.
             if fields.get("id") in self._failed_attempts:
                 return None
             return self._loss(instance, ended_at, fields, _CUT_REASON, 1.0)
@@ -118,7 +123,7 @@
     def _evaluate_request(
         self, instance: str, ended_at: float, fields: dict[str, Any]
     ) -> Loss | None:
-        """Say what a request lost; nothing where nobody owes an answer."""
+        """Return the loss of a logged request, or None if there was none."""
         if fields.get("status") in _UNCOUNTED_STATUSES:
             return None
         if fields.get("status") != 200:
@@ -149,14 +154,17 @@
 
 
 def format_tables(losses: Sequence[Loss], left_out: int) -> list[str]:
-    """Write tables of what was lost, the greatest first; seconds in their order.
+    """Format the losses as tables by route, workspace, hall, reason and second.
+
+    Rows are sorted by the value lost, in descending order, except those by second, which are sorted
+    by time.
 
     Args:
-        losses: Requests that went badly.
-        left_out: Lines on requests that the logs leave out.
+        losses: The losses.
+        left_out: Number of log lines about requests that were suppressed.
 
     Returns:
-        Lines for a person.
+        Lines of human-readable text.
     """
     total_lost = sum(loss.amount for loss in losses)
     lines = [f"{len(losses)} requests went badly; together they lost the use of {total_lost:.1f}"]
@@ -200,7 +208,7 @@
 
 
 def _partial_reason(fields: dict[str, Any]) -> str:
-    """Name what most of the missing shards waited for."""
+    """Return the most frequent cause among the missing shards."""
     missing = fields.get("missing") or [_UNKNOWN]
     clauses = [
         _GENERATED_ID.sub("a target", _SERVICE_PREFIX.sub("", str(clause))) for clause in missing
--- a/src/lineworks/programs/_node_commands.py
+++ b/src/lineworks/programs/_node_commands.py
@@ -1,4 +1,4 @@
-"""What `lineworks-ctl` asks of an instance on the users' platform, and how it is printed."""
+"""Requests of `lineworks-ctl` to an instance on the users' platform, and output of the replies."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 WORKSPACES = "workspaces"
 
 COMMANDS = (SUSPECTS, LIFT, PLACEMENT, QUOTAS, WORKSPACES)
-"""All of them; they need no secret."""
+"""All commands to an instance on the users' platform; they need no shared secret."""
 
 WITHOUT_ARGUMENT = (SUSPECTS, PLACEMENT, QUOTAS, WORKSPACES)
-"""Those that take no argument."""
+"""Commands that take no argument."""
 
 
 def method_and_path(arguments: list[str]) -> tuple[str, str]:
-    """Tell which call carries a command out.
+    """Return the HTTP request that executes a command.
 
     Args:
-        arguments: The command with its argument.
+        arguments: The command, followed by its argument if it takes one.
 
     Returns:
-        Method and path.
+        HTTP method and path.
     """
     if arguments[0] == LIFT:
         return "POST", f"/suspects/lift?content={urllib.parse.quote(arguments[1])}"
@@ -36,14 +36,14 @@
 
 
 def format_reply(arguments: list[str], reply: dict[str, Any]) -> str:
-    """Write what people read.
+    """Format an instance's reply as human-readable text.
 
     Args:
-        arguments: The command with its argument.
-        reply: What the instance answered.
+        arguments: The command, followed by its argument if it takes one.
+        reply: The instance's reply.
 
     Returns:
-        Some lines.
+        The text, which may have several lines.
     """
     formatters: dict[str, Callable[[], str]] = {
         SUSPECTS: lambda: _format_suspects(reply["suspects"]),
--- a/src/lineworks/programs/_node_logs.py
+++ b/src/lineworks/programs/_node_logs.py
@@ -1,7 +1,7 @@
-"""Logs of a process: JSON lines on standard output that never hold the process up.
+"""Writes a process's logs as JSON lines to standard output without blocking.
 
-Lines wait in a bounded buffer and are written as far as the pipe takes them. When the buffer is
-full, lines are dropped and counted.
+Lines are held in a bounded buffer and written as soon as the pipe accepts them. When the buffer is
+full, further lines are dropped and counted.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 import structlog
 
 BUFFER_LINES = 2000
-"""Lines that wait for a slow reader at most: some seconds at the usual rates."""
+"""Maximum number of buffered lines: enough for some seconds of a slow reader at usual rates."""
 
 RETRY_SECONDS = 0.1
-"""Seconds after which a full pipe is tried again."""
+"""Delay before the next attempt to write to a full pipe, in seconds."""
 
 STDOUT = 1
 
 
 class LineWriter:
-    """Writes lines without ever waiting."""
+    """Writes lines to a file descriptor without blocking."""
 
     def __init__(self, reactor: Any, descriptor: int = STDOUT) -> None:
-        """Make a writer.
+        """Create a writer.
 
         Args:
-            reactor: Twisted's reactor, for another try at a full pipe.
-            descriptor: Where to write.
+            reactor: Twisted's reactor, which schedules retries when the pipe is full.
+            descriptor: File descriptor to write to; it must be non-blocking.
         """
         self._reactor = reactor
         self._descriptor = descriptor
@@ -39,14 +39,14 @@
         self._unwritten = b""
         self._timer: Any = None
         self.dropped = 0
-        """Lines dropped so far."""
+        """Number of lines dropped so far."""
         self._reported_drops = 0
 
     def write(self, line: str) -> None:
-        """Write a line, now or later, or drop it.
+        """Write or buffer a line; drop it if the buffer is full.
 
         Args:
-            line: The line, without its end.
+            line: The line, without a line break.
         """
         if len(self._buffer) >= BUFFER_LINES:
             self.dropped += 1
@@ -56,7 +56,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write as much as the pipe takes."""
+        """Write as much of the buffer as the pipe accepts; retry the rest later."""
         self._timer = None
         while self._unwritten or self._buffer:
             data = self._unwritten or self._buffer.popleft()
@@ -65,7 +65,7 @@
             except BlockingIOError:
                 written = 0
             except OSError as error:
-                # Nobody reads any more, so there is nowhere to report this to.
+                # The reader has closed the pipe, so the error cannot be logged anywhere.
                 self.dropped += 1 + len(self._buffer)
                 self._buffer.clear()
                 self._unwritten = b""
@@ -82,36 +82,36 @@
 
 
 class NodeLogs:
-    """The logs of one process."""
+    """The logs of a process, and the exit code that follows from them."""
 
     def __init__(self, writer: LineWriter) -> None:
         self._writer = writer
         self._log = structlog.get_logger(component="program")
         self.exit_code = 0
-        """Code that the process ends with."""
+        """Exit code of the process."""
 
     @property
     def lines_dropped(self) -> int:
-        """Lines dropped so far, because nobody read them."""
+        """Number of lines dropped so far because they were not read fast enough, or not at all."""
         return self._writer.dropped
 
     def fail(self, event: str, error: str, code: int = 1) -> None:
-        """Write why the process ends."""
+        """Log the error that ends the process, and set the exit code."""
         self.exit_code = code
         self._log.error(event, error=error)
         self._writer.flush()
 
     def log_warning(self, event: str, detail: str) -> None:
-        """Write what an operator should know."""
+        """Log a warning for operators."""
         self._log.warning(event, detail=detail)
 
     def flush(self) -> None:
-        """Write what still waits."""
+        """Write the buffered lines, as far as the pipe accepts them."""
         self._writer.flush()
 
 
 def set_up(reactor: Any) -> NodeLogs:
-    """Configure structlog for the process.
+    """Configure structlog, and log uncaught exceptions.
 
     Args:
         reactor: Twisted's reactor.
@@ -141,7 +141,7 @@
 
 
 class _WriterLogger:
-    """What structlog hands finished lines to."""
+    """Logger that passes structlog's rendered lines to a line writer."""
 
     def __init__(self, writer: LineWriter) -> None:
         self.debug = self.info = self.warning = self.error = self.critical = writer.write
--- a/src/lineworks/programs/_timeline.py
+++ b/src/lineworks/programs/_timeline.py
@@ -1,4 +1,4 @@
-"""Finds one request in the logs of several processes and puts its lines in order."""
+"""Collects the log lines of one request from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
     """A log line that belongs to a request."""
 
     source: str
-    """Name of the file that it stands in."""
+    """Name of the log file."""
 
     number: int
-    """Number of the line in that file."""
+    """Line number in the file, starting at 1."""
 
     fields: dict[str, Any]
-    """Its fields."""
+    """The line's fields."""
 
     @property
     def time(self) -> float:
-        """Seconds on the clock of the process that wrote it."""
+        """Time in seconds on the clock of the process that wrote the line."""
         return _log_lines.number_or_zero(self.fields.get("t"))
 
 
 def find(attempt_id: str, name: str, lines: Iterable[str]) -> Iterator[Line]:
-    """Find the lines of a request in one log.
+    """Find the lines of a request in a log.
 
     Args:
-        identity: The caller's identity of the try.
+        identity: The caller's ID of the attempt.
         name: Name of the log.
-        lines: Its lines; what is no JSON object is passed over.
+        lines: Lines of the log; lines without a JSON object are skipped.
 
     Yields:
-        The lines in order.
+        The request's lines, in the order of the log.
     """
     for number, text in enumerate(lines, 1):
         fields = _log_lines.parse_line(text) if attempt_id in text else None
@@ -50,16 +50,16 @@
 
 
 def format_timeline(attempt_id: str, found: Sequence[Line]) -> list[str]:
-    """Write a request's timeline.
+    """Format a request's timeline.
 
-    The clocks of processes are not comparable, so the lines are grouped by log.
+    The clocks of different processes are not comparable, so the lines are grouped by log.
 
     Args:
-        identity: The caller's identity of the try.
-        found: The lines of all logs.
+        identity: The caller's ID of the attempt.
+        found: The request's lines from all logs.
 
     Returns:
-        Lines for a person.
+        Lines of human-readable text.
     """
     if not found:
         return [f"{attempt_id}: no line in these logs; good requests are logged by sample only"]
--- a/src/lineworks/programs/ctl.py
+++ b/src/lineworks/programs/ctl.py
@@ -1,4 +1,4 @@
-"""`lineworks-ctl`: the operators' command line.
+"""`lineworks-ctl`: the operators' command-line tool.
 
 Examples:
 
@@ -10,31 +10,34 @@
 
 Commands:
 
-    apply FILE     change the configuration; refused when another change to the items came first
-    validate FILE  check a file without sending it anywhere
+    apply FILE     change the configuration; refused when another change to the same items was
+                   applied first
+    validate FILE  check a file locally, without sending it
     show           print the configuration in force
     diff FILE      print what applying a file would change
-    settle ID      find out what became of a change whose outcome is not known
-    explain QUERY  print which selector serves a search, and which group, shards and replicas
+    settle ID      determine the outcome of a change that `apply` could not confirm
+    explain QUERY  print the selector, group, shards and replicas that serve a search
     status         print an instance's versions, members, links and targets
     trace ID       print a query's timeline
     timeline ID FILE...
-                   find a forwarded request in the logs of several processes, for example
+                   print a forwarded request's lines from the logs of several processes, for example
                    lineworks-ctl timeline 9c41d07be2a35f68 akl-1.log wlg-1.log
-    losses FILE... tell from the logs of instances which requests went badly, where, when and why
-    drain          let an instance finish its requests and stop
-    suspects       list the requests under which targets ended, and which are refused; give the
-                   metrics address of an instance on the users' platform by --node
-    lift CONTENT   let a refused request have one careful trial, on all instances
+    losses FILE... report from instances' logs which requests failed, were late or incomplete, and
+                   where, when and why
+    drain          make an instance finish its requests and stop
+    suspects       list the requests suspected of crashing targets, and which of them are refused;
+                   --node gives the metrics address of an instance on the users' platform
+    lift CONTENT   allow one cautious trial of a refused request, on all instances
     workspaces     print the workspaces in force at the instance at --node and the version of its
                    configuration: counts of keys, priorities, home regions (limits: see quotas)
-    placement      print which routes have home regions and lack targets there, which halls are
-                   evacuated, and what cold targets get, as the instance at --node knows it
-    quotas         print the quotas of workspaces, who holds their tokens in the data hall of
-                   the instance at --node, and whose requests it refused
-
-Exit codes: 0 done; 1 failed; 2 the arguments or a file cannot be used; 3 refused, and so not
-done; 4 not known whether it was done (see `settle`).
+    placement      print the routes with home regions and which services lack targets there, which
+                   halls are evacuated, and the request rates of cold targets, as known to the
+                   instance at --node
+    quotas         print the quotas of workspaces, which instance holds their tokens in the data
+                   hall of the instance at --node, and the requests that it refused
+
+Exit codes: 0 done; 1 failed; 2 the arguments or a file are invalid; 3 refused, and so not
+executed; 4 unknown whether it was executed (see `settle`).
 """
 
 from __future__ import annotations
@@ -76,18 +79,18 @@
 _AUTHOR = absl.flags.DEFINE_string("author", None, "Who makes the change.")
 
 TIMEOUT_SECONDS = 30.0
-"""Seconds to wait for a reply."""
+"""Timeout of a request, in seconds."""
 
 
 class UsageError(Exception):
-    """The arguments or a file cannot be used."""
+    """The arguments or a file are invalid."""
 
 
 class Client:
-    """Signs and sends requests to an instance."""
+    """Sends signed requests to an instance."""
 
     def __init__(self, reactor: Any, entry: str, secret: bytes) -> None:
-        """Make a client; nothing is sent yet.
+        """Create a client without connecting.
 
         Args:
             reactor: Twisted's reactor.
@@ -102,15 +105,15 @@
     async def call(
         self, method: str, path: str, document: Any = None
     ) -> tuple[int, dict[str, Any]]:
-        """Send a request.
+        """Send a request and wait for its reply.
 
         Args:
             method: HTTP method.
-            path: Path.
-            document: JSON body, if any.
+            path: Path of the URL, with its query if any.
+            document: Document to send as the JSON body; None sends no body.
 
         Returns:
-            HTTP status and the reply.
+            HTTP status and the decoded JSON reply.
         """
         body = b"" if document is None else json.dumps(document).encode()
         signature = auth.sign(self._secret, method, path, body, time.time())
@@ -139,7 +142,7 @@
 
 
 def _print_failure(status: int, reply: dict[str, Any]) -> int:
-    """Print why a request was not done, and choose the exit code."""
+    """Print why a request was not carried out, and return the exit code."""
     detail = reply.get("detail") or reply.get("title") or f"status {status}"
     if _JSON.value:
         _print(reply)
@@ -278,7 +281,7 @@
 
 
 def _show_timeline(attempt_id: str, paths: list[str]) -> int:
-    """Print a request's lines from logs; nothing is sent anywhere."""
+    """Print a request's lines from log files, without any network request."""
     found: list[_timeline.Line] = []
     for path in paths:
         try:
@@ -292,7 +295,7 @@
 
 
 def _show_losses(paths: list[str]) -> int:
-    """Print what went badly by the logs; nothing is sent anywhere."""
+    """Print the losses found in log files, without any network request."""
     reader = _losses.LossReader()
     found: list[_losses.Loss] = []
     for path in paths:
@@ -307,7 +310,7 @@
 
 
 async def _run_node_command(reactor: Any, arguments: list[str]) -> int:
-    """Ask an instance on the users' platform."""
+    """Send a command to an instance on the users' platform and print the reply."""
     client = Client(reactor, _NODE.value, b"")
     try:
         status, reply = await client.call(*_node_commands.method_and_path(arguments))
@@ -333,7 +336,7 @@
 
 
 def _check_arguments(arguments: list[str]) -> str | None:
-    """Say what is wrong with the arguments, or None."""
+    """Return an error message for invalid arguments, or None if they are valid."""
     known = sorted(
         (*_WITHOUT_ARGUMENT, *_WITH_ARGUMENT, _TIMELINE, _LOSSES, *_node_commands.COMMANDS)
     )
@@ -351,13 +354,13 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run one command.
+    """Run a command.
 
     Args:
-        argv: Program name and arguments left after flags.
+        argv: Program name and the arguments that remain after flag parsing.
 
     Returns:
-        The exit code; see the module's text.
+        The exit code; see the module's docstring.
     """
     problem = _check_arguments(argv[1:])
     if problem is not None:
@@ -387,5 +390,5 @@
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Parse the flags and run the program; the console script's entry point."""
     absl.app.run(lambda argv: sys.exit(main(argv)))
--- a/src/lineworks/programs/demo.py
+++ b/src/lineworks/programs/demo.py
@@ -1,9 +1,9 @@
-"""`lineworks-demo`: the whole system in one process, watched for half a minute at most.
+"""`lineworks-demo`: runs the whole system in one process, for half a minute at most.
 
-A platform stand-in, the Consortium's score-finder over two halls and three instances talk over
-real TCP on loopback. Searches and unrepeatable part downloads run while one target straggles, one
-leaves, the index gets a new version and the configuration changes. The promises are checked from
-the callers' and the targets' own results.
+A platform stand-in, the Consortium's score-finder in two data halls and three instances communicate
+over TCP on the loopback interface. Searches and non-idempotent part downloads run while one target
+stalls, one leaves, the index gets a new version and the configuration changes. The system's
+guarantees are then checked against records kept by the callers and the targets.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 
 class _CallerResults:
-    """What the callers saw."""
+    """Results as seen by the callers."""
 
     def __init__(self) -> None:
         self.latency = histogram.HdrHistogram(1, 60_000_000, 3)
@@ -122,7 +122,7 @@
 
 
 class _Demo:
-    """One run of the demo."""
+    """A run of the demo."""
 
     def __init__(self, reactor: Any, console: rich.console.Console) -> None:
         self._reactor = reactor
@@ -175,7 +175,11 @@
         return document
 
     async def _until_ready(self) -> None:
-        """Wait until every instance can serve every shard."""
+        """Wait until every instance can serve every shard.
+
+        Raises:
+            RuntimeError: The instances were not ready in time.
+        """
         limit = self._reactor.seconds() + START_TIMEOUT
         while self._reactor.seconds() < limit:
             if all(self._is_ready(tier_instance) for tier_instance in self._instances):
@@ -189,7 +193,7 @@
         return bool(services) and all(view.held_snapshots(service.name) for service in services)
 
     async def _send_requests(self) -> None:
-        """Send all requests by a clock of arrivals, never waiting for answers."""
+        """Send all requests with Poisson arrivals, without waiting for answers (open loop)."""
         total = _SEARCHES.value + _RUNS.value
         kinds = ["search"] * _SEARCHES.value + ["run"] * _RUNS.value
         self._rng.shuffle(kinds)
@@ -224,7 +228,7 @@
         self._site.targets["score-finder-007-b"].model.leave()
 
     async def _replace_snapshot(self) -> None:
-        """Load the new version everywhere, then drop the old one."""
+        """Load the new snapshot on all targets, then unload the old one."""
         self._site.hold(frozenset({site.FIRST_SNAPSHOT, NEXT_SNAPSHOT}))
         await task.sleep(self._reactor, 1.2)
         self._site.hold(frozenset({NEXT_SNAPSHOT}))
@@ -257,7 +261,7 @@
         }
         _, document = await self._post("/v1/run", body, {"Idempotency-Key": request_name})
         self._results.record_run(request_name, document)
-        # The caller asks again through another instance, as after a lost connection.
+        # The caller retries through another instance, as after a lost connection.
         _, again = await self._post("/v1/run", body, {"Idempotency-Key": request_name})
         self._results.sent -= 1
         self._results.record_retry(document, again)
@@ -300,7 +304,7 @@
         self._console.print(f"verdicts: {results.verdicts}")
 
     def _extra_load(self) -> float:
-        """Compute starts beyond one for each sub-query, from the targets' results."""
+        """Return the extra executions per sub-query, as a fraction, from the targets' records."""
         started = [target.model.books.started for target in self._site.targets.values()]
         total: dict[str, int] = {}
         for book in started:
@@ -319,10 +323,10 @@
         return total
 
     def _check_guarantees(self, last_version: int) -> bool:
-        """Check the promises and print a line for each.
+        """Check the guarantees and print a line for each.
 
         Returns:
-            Whether any was broken.
+            Whether any guarantee was violated.
         """
         results = self._results
         starts = self._run_starts()
@@ -380,10 +384,10 @@
     """Run the demo.
 
     Args:
-        argv: Program name and arguments left after flags.
+        argv: Program name and the arguments that remain after flag parsing.
 
     Returns:
-        0 only if every promise held.
+        The exit code: 0 only if every guarantee held.
     """
     if len(argv) > 1:
         return _common.fail(f"unexpected argument: {argv[1]}")
@@ -395,5 +399,5 @@
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Parse the flags and run the program; the console script's entry point."""
     absl.app.run(lambda argv: sys.exit(main(argv)))
--- a/src/lineworks/programs/entry.py
+++ b/src/lineworks/programs/entry.py
@@ -1,4 +1,4 @@
-"""`lineworks-entry`: one instance."""
+"""`lineworks-entry`: runs one instance."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run an instance until it is asked to stop.
+    """Run an instance until a signal or a drain request stops it.
 
     Args:
-        argv: Program name and arguments left after flags.
+        argv: Program name and the arguments that remain after flag parsing.
 
     Returns:
-        The exit code: 0 after a planned stop, 2 when the settings cannot be used.
+        The exit code: 0 after a planned stop, 2 when the settings are invalid or a port is in use.
     """
     if len(argv) > 1 or _SETTINGS.value is None:
         return _common.fail("usage: lineworks-entry --settings FILE")
@@ -59,5 +59,5 @@
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Parse the flags and run the program; the console script's entry point."""
     absl.app.run(lambda argv: sys.exit(main(argv)))
--- a/src/lineworks/programs/load.py
+++ b/src/lineworks/programs/load.py
@@ -1,4 +1,4 @@
-"""`lineworks-load`: sends searches by a clock of arrivals, never waiting for answers."""
+"""`lineworks-load`: an open-loop load generator that sends searches with Poisson arrivals."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
 _JSON = absl.flags.DEFINE_bool("json", False, "Print figures as JSON.")
 
 GRACE_SECONDS = 2.0
-"""Seconds after its deadline at which a search without an answer counts as lost."""
+"""Seconds after its deadline until an unanswered search counts as lost."""
 
 _TRY_NEXT_REASONS = ("leaving", "not_ready")
-"""Refusals after which a balancer asks another instance; both say that nothing ran."""
+"""Refusals after which a load balancer tries another instance; both mean that nothing ran."""
 
 _QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 @dataclasses.dataclass
 class _ClassStatistics:
-    """What the callers of one class saw."""
+    """Results of one caller class, as seen by its callers."""
 
     latency: Any = dataclasses.field(
         default_factory=lambda: histogram.HdrHistogram(1, 120_000_000, 3)
@@ -75,14 +75,14 @@
 
 
 class _LoadRun:
-    """One run of load."""
+    """A run of the load generator."""
 
     def __init__(self, reactor: Any, shares: dict[str, float], fields: dict[str, str]) -> None:
         self._reactor = reactor
         self._rng = random.Random(_SEED.value)
         self._shares = shares
         self._fields = fields
-        self._figures = {name: _ClassStatistics() for name in shares}
+        self._statistics = {name: _ClassStatistics() for name in shares}
         self._shards = 0
         pool: Any = web_client.HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = 256
@@ -106,13 +106,13 @@
         await defer.gatherResults(waiting)
         self._print(before, await self._count_target_starts())
         await self._pool.closeCachedConnections()
-        broken = sum(figures.lost + figures.late for figures in self._figures.values())
+        broken = sum(statistics.lost + statistics.late for statistics in self._statistics.values())
         return _common.EXIT_FAILED if broken else _common.EXIT_OK
 
     async def _search(self, number: int, caller_class: str, due: float) -> None:
-        """Send one search; its latency counts from when it was due."""
-        figures = self._figures[caller_class]
-        figures.sent += 1
+        """Send a search; its latency is measured from its scheduled time."""
+        statistics = self._statistics[caller_class]
+        statistics.sent += 1
         body = {
             "fields": self._fields,
             "class": caller_class,
@@ -121,22 +121,22 @@
         try:
             document = await self._post(number, body, due)
         except Exception as error:
-            figures.lost += 1
+            statistics.lost += 1
             label = type(error).__name__
-            figures.verdicts[label] = figures.verdicts.get(label, 0) + 1
+            statistics.verdicts[label] = statistics.verdicts.get(label, 0) + 1
             return
-        self._record(figures, document, self._reactor.seconds() - due)
+        self._record(statistics, document, self._reactor.seconds() - due)
 
     async def _post(self, number: int, body: dict[str, Any], due: float) -> dict[str, Any]:
-        """Ask one entry after another until one takes the search, as a balancer would.
+        """Try one instance after another until one accepts the search, as a load balancer would.
 
-        Each is given the time that is left since the search was due.
+        Each gets the time that remains until the deadline, counted from the scheduled time.
         """
         entries = _ENTRIES.value
         limit = _DEADLINE.value / 1000 + GRACE_SECONDS
-        for step in range(len(entries)):
-            entry = entries[(number + step) % len(entries)]
-            is_last = step == len(entries) - 1
+        for offset in range(len(entries)):
+            entry = entries[(number + offset) % len(entries)]
+            is_last = offset == len(entries) - 1
             spent = (self._reactor.seconds() - due) * 1000
             left = max(1, _DEADLINE.value - round(spent))
             data = json.dumps({**body, "deadline_ms": left}).encode()
@@ -151,21 +151,23 @@
                 return document
         raise AssertionError("there is always a last entry")
 
-    def _record(self, figures: _ClassStatistics, document: dict[str, Any], seconds: float) -> None:
+    def _record(
+        self, statistics: _ClassStatistics, document: dict[str, Any], seconds: float
+    ) -> None:
         found = document["verdict"]
         label = f"{found['certainty']} {found['reason']}"
-        figures.verdicts[label] = figures.verdicts.get(label, 0) + 1
-        figures.late += seconds * 1000 > _DEADLINE.value + 50
+        statistics.verdicts[label] = statistics.verdicts.get(label, 0) + 1
+        statistics.late += seconds * 1000 > _DEADLINE.value + 50
         if "coverage" in document:
             coverage = document["coverage"]
             self._shards += len(coverage["covered"]) + len(coverage["lacking"])
         if found["reason"] == "ok":
-            figures.answered += 1
-            figures.coverage += document["coverage"]["share"]
-            figures.latency.record_value(int(seconds * 1e6))
+            statistics.answered += 1
+            statistics.coverage += document["coverage"]["share"]
+            statistics.latency.record_value(int(seconds * 1e6))
 
     async def _count_target_starts(self) -> int:
-        """Add up the starts that the targets counted."""
+        """Return the total number of executions that the targets started."""
         total = 0
         for url in _TARGETS.value:
             response = await self._http.get(f"{url}/v1/books")
@@ -173,7 +175,7 @@
         return total
 
     def _print(self, before: int, after: int) -> None:
-        classes = {name: figures.summary() for name, figures in self._figures.items()}
+        classes = {name: statistics.summary() for name, statistics in self._statistics.items()}
         document: dict[str, Any] = {"classes": classes}
         if _TARGETS.value:
             document["extra_load"] = (after - before - self._shards) / max(1, self._shards)
@@ -199,13 +201,13 @@
 
 
 def main(argv: list[str]) -> int:
-    """Send load.
+    """Run the load generator.
 
     Args:
-        argv: Program name and arguments left after flags.
+        argv: Program name and the arguments that remain after flag parsing.
 
     Returns:
-        0 when no search was lost or late, 1 when some were, 2 for bad arguments.
+        The exit code: 0 when no search was lost or late, 1 when some were, 2 for invalid arguments.
     """
     if len(argv) > 1:
         return _common.fail(f"unexpected argument: {argv[1]}")
@@ -225,5 +227,5 @@
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Parse the flags and run the program; the console script's entry point."""
     absl.app.run(lambda argv: sys.exit(main(argv)))
--- a/src/lineworks/programs/node.py
+++ b/src/lineworks/programs/node.py
@@ -1,6 +1,6 @@
-"""`lineworks-node`: one process on the users' machines; it is started by `src/lineworks_node.py`.
+"""`lineworks-node`: one instance on the users' platform, started by `src/lineworks_node.py`.
 
-Only what the process needs is imported, because memory and the time to start are paid for.
+Only the modules that the process needs are imported, because memory and start-up time have a cost.
 """
 
 from __future__ import annotations
@@ -21,41 +21,41 @@
     from lineworks.models import node_settings
 
 WITHOUT_VARIABLE = "LINEWORKS_WITHOUT"
-"""Environment variable with the names of mechanisms to switch off, separated by commas."""
+"""Environment variable with a comma-separated list of mechanisms to disable."""
 
 EXIT_SETTINGS = 2
-"""The settings can't be used."""
+"""Exit code: the settings are invalid."""
 
 EXIT_PORT = 3
-"""A port is in use."""
+"""Exit code: a port is in use."""
 
 EXIT_START = 4
-"""The process could not start for another reason."""
+"""Exit code: the start failed for another reason."""
 
 
 GC_THRESHOLD = 10_000
-"""New objects after which the youngest generation is collected: a request makes some hundred that
-are freed by reference counts, and cycles are rare."""
+"""Number of new objects after which the youngest generation is collected. A request creates some
+hundred objects that reference counting frees, and cycles are rare."""
 
 
 def main() -> int:
-    """Run until SIGTERM.
+    """Run the instance until SIGTERM or SIGINT.
 
     Returns:
-        The exit code: 0 after a planned stop.
+        The exit code: 0 after a planned stop, else one of the `EXIT_` constants.
     """
-    # What is imported stays, so looking for garbage among it is lost time.
+    # Imported modules are never freed, so garbage collection during the imports would be wasted.
     gc.disable()
     try:
         settings = _load_settings()
-        callers = _open_caller_port(settings)
+        acceptor = _open_caller_port(settings)
     except (platform_settings.SettingsError, OSError) as error:
         return _fail_early(error)
-    return _run(settings, callers)
+    return _run(settings, acceptor)
 
 
 def _load_settings() -> node_settings.NodeSettings:
-    """Read the platform's file, and what is switched off for this process."""
+    """Read the platform's settings file and the mechanisms that are disabled for this process."""
     try:
         without = mechanisms.parse(os.environ.get(WITHOUT_VARIABLE, ""))
     except mechanisms.UnknownMechanismError as error:
@@ -64,24 +64,24 @@
 
 
 def _open_caller_port(settings: node_settings.NodeSettings) -> early_acceptor.EarlyAcceptor:
-    """Let callers connect while the rest is imported."""
+    """Open the callers' port and accept connections while other modules are being imported."""
     opened = listening.open_port(settings.callers.host, settings.callers.port)
-    callers = early_acceptor.EarlyAcceptor(opened, headers.budget_of_head)
-    callers.start()
-    return callers
+    acceptor = early_acceptor.EarlyAcceptor(opened, headers.budget_of_head)
+    acceptor.start()
+    return acceptor
 
 
 def _install_reactor() -> Any:
-    """Import Twisted, with its reactor on the steady clock."""
+    """Import Twisted and install its reactor with a clock that never jumps."""
     with lean_imports.without_unused():
         from lineworks.kernel import steady_reactor
 
-        # It must be installed before anything imports the default one.
+        # It must be installed before any module imports the default reactor.
         return steady_reactor.install()
 
 
 def _fail_early(error: Exception) -> int:
-    """Say why the process can't run, before anything was started."""
+    """Log an error that occurred before the services started, and return the exit code."""
     reactor = _install_reactor()
     from lineworks.programs import _node_logs
 
@@ -93,7 +93,7 @@
     return logs.exit_code
 
 
-def _run(settings: node_settings.NodeSettings, callers: early_acceptor.EarlyAcceptor) -> int:
+def _run(settings: node_settings.NodeSettings, acceptor: early_acceptor.EarlyAcceptor) -> int:
     """Start the services and run until they stop."""
     reactor = _install_reactor()
     from twisted.internet import defer
@@ -102,14 +102,14 @@
     from lineworks.programs import _node_logs
 
     logs = _node_logs.set_up(reactor)
-    process = node.Node(reactor, settings, callers)
+    process = node.Node(reactor, settings, acceptor)
     process.lines_dropped = lambda: logs.lines_dropped
-    # Before anything else, or an early signal would end the process on the spot.
+    # Install the handlers first: an early signal would otherwise terminate the process at once.
     _handle_signals(reactor, process, logs)
     defer.ensureDeferred(process.start()).addErrback(_on_start_failed, reactor, logs)
     stop_requested_at = early_signals.stop_requested_at()
     if stop_requested_at is not None:
-        # The platform counts its time from the signal.
+        # The platform's time limit for a stop counts from the signal.
         reactor.callWhenRunning(process.stop, stop_requested_at)
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
@@ -143,17 +143,21 @@
 
 
 def _ignore_signals() -> None:
-    """Let no signal change how the process ends: while Python ends, handlers are gone.
+    """Ignore further signals, so that they cannot change the exit code.
 
-    One that came after `stopped` made the exit code -15 (8 of 8 times in the test), as if the stop
-    had failed. Signals that are ignored stay so.
+    While the interpreter shuts down, its signal handlers are gone. A signal that arrived after
+    `stopped` was logged made the exit code -15 (8 of 8 times in the test), as if the stop had
+    failed. Signals that are set to be ignored remain ignored.
     """
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
 
 
 def _validate_changed_settings(logs: Any) -> None:
-    """Look at changed settings; addresses and limits hold until the next start."""
+    """Validate changed settings and log the result.
+
+    Changes, also to addresses and limits, take effect at the next start only.
+    """
     try:
         platform_settings.load()
     except platform_settings.SettingsError as error:
--- a/src/lineworks/programs/standin.py
+++ b/src/lineworks/programs/standin.py
@@ -1,4 +1,4 @@
-"""`lineworks-standin`: the platform and the targets of both users' shapes, for trials."""
+"""`lineworks-standin`: stand-ins for the platform and targets, in both users' sizes, for trials."""
 
 from __future__ import annotations
 
@@ -79,10 +79,10 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the stand-ins until a signal.
+    """Run the stand-ins until SIGTERM or SIGINT.
 
     Args:
-        argv: Program name and arguments left after flags.
+        argv: Program name and the arguments that remain after flag parsing.
 
     Returns:
         The exit code.
@@ -108,5 +108,5 @@
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Parse the flags and run the program; the console script's entry point."""
     absl.app.run(lambda argv: sys.exit(main(argv)))
--- a/src/lineworks_node.py
+++ b/src/lineworks_node.py
@@ -1,14 +1,14 @@
-"""Starts one process on the users' machines.
+"""Starts one instance on the users' platform.
 
-The file stands beside the package so that `src/` is on the path, and not `src/lineworks/`, whose
-folder `platform` would hide the standard library's module of that name.
+Python puts a script's own directory on the module search path. The script is therefore in `src/`:
+in `src/lineworks/`, the package `platform` would shadow the standard library's module `platform`.
 """
 
 import sys
 
 from lineworks.kernel import early_signals
 
-# Before the rest is imported, which takes some tenths of a second.
+# Must precede the other imports: they take some tenths of a second, in which signals may arrive.
 early_signals.install_handlers()
 
 from lineworks.programs import node  # noqa: E402
