--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""What the command line tells of requests that went badly, from logs alone."""
+"""`lineworks-ctl losses`: failed, late and incomplete requests, as found in logs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def request(attempt_id, **fields):
-    usual = {
+    defaults = {
         "event": "request",
         "id": attempt_id,
         "route": "sweep",
@@ -23,7 +23,7 @@
         "total": 10,
         "t": 5.5,
     }
-    return {**usual, **fields}
+    return {**defaults, **fields}
 
 
 def read(*rows, prefix=""):
@@ -32,12 +32,12 @@
     return list(reader.read("a1", lines)), reader
 
 
-def test_good_requests_and_unknown_routes_lose_nothing():
+def test_successful_requests_and_unknown_routes_are_no_losses():
     found, _ = read(STARTED, request("q1"), request("q2", status=404, route=None))
     assert found == []
 
 
-def test_nothing_is_owed_to_unknown_keys_and_beyond_a_quota():
+def test_unknown_keys_and_exceeded_quotas_are_no_losses():
     found, _ = read(
         STARTED,
         request("q1", status=401, reason="unknown_key"),
@@ -46,7 +46,7 @@
     assert found == []
 
 
-def test_losses_are_told_by_workspace_where_lines_name_one():
+def test_losses_are_grouped_by_workspace_if_any_line_names_one():
     found, _ = read(
         STARTED,
         request("q1", status=503, reason="no_replica", workspace="north"),
@@ -60,7 +60,7 @@
     assert "workspace" not in "\n".join(_losses.format_tables(found[1:], 0))
 
 
-def test_what_is_lost_by_failure_lateness_and_missing_shards():
+def test_amounts_lost_by_failures_late_answers_and_missing_shards():
     found, _ = read(
         STARTED,
         request("q1", status=503, reason="no_replica", detail="3 of 20 shards have a target"),
@@ -78,18 +78,18 @@
     assert {loss.second for loss in found} == {5}
 
 
-def test_a_caller_that_left_counts_whole():
+def test_a_caller_that_disconnected_is_a_total_loss():
     found, _ = read({"event": "caller_gone", "id": "q1", "route": "sweep", "ms": 400.0, "t": 7.0})
     assert found[0].amount == 1.0
     assert found[0].hall == "?"
 
 
-def test_lines_may_begin_with_time_and_instance():
+def test_lines_may_have_a_prefix_of_time_and_instance():
     found, _ = read(STARTED, request("q1", ms=300.0), prefix="  35.8153 b7 ")
     assert (found[0].second, found[0].hall) == (35, "akl")
 
 
-def test_lines_that_are_none_are_passed_over_and_those_left_out_are_counted():
+def test_invalid_lines_are_skipped_and_suppressed_lines_are_counted():
     reader = _losses.LossReader()
     lines = ["no json\n", "{broken\n", "[1]\n"]
     lines.append(json.dumps({"event": "lines_left_out", "kind": "request", "count": 4}))
@@ -97,7 +97,7 @@
     assert reader.left_out == 4
 
 
-def test_the_command_prints_tables_with_examples(tmp_path, capsys):
+def test_the_command_prints_tables_with_example_requests(tmp_path, capsys):
     log = tmp_path / "a1.log"
     rows = [STARTED, request("q1", ms=300.0), request("q2", status=502, reason="link_lost")]
     log.write_text("\n".join(json.dumps(row) for row in rows))
@@ -108,18 +108,18 @@
     assert "502 link_lost" in printed
 
 
-def test_the_command_needs_files_that_exist():
+def test_the_command_requires_existing_files():
     assert ctl.main(["ctl", "losses"]) == 2
     assert ctl.main(["ctl", "losses", "nowhere.log"]) == 2
 
 
 @pytest.mark.parametrize("event", ["cut_at_end", "answer_not_delivered"])
-def test_what_the_end_of_a_process_cut_is_a_loss_of_its_own(event):
+def test_requests_cut_by_the_end_of_a_process_are_losses_with_their_own_reason(event):
     found, _ = read({"event": event, "id": "q1", "route": "sweep", "ms": 400.0, "t": 7.0})
-    assert [one.reason for one in found] == ["cut by the end of the process"]
+    assert [loss.reason for loss in found] == ["cut by the end of the process"]
 
 
-def test_a_failure_that_its_caller_did_not_get_is_one_loss():
+def test_a_failed_request_whose_answer_was_not_delivered_is_one_loss():
     failed = request("q1", status=502, reason="link_lost", detail="x")
     found, _ = read(failed, {"event": "answer_not_delivered", "id": "q1", "ms": 400.0, "t": 7.0})
     assert len(found) == 1
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -25,14 +25,14 @@
         mechanisms.parse("merge, hedge")
 
 
-def test_a_process_with_an_unknown_name_in_its_settings_does_not_start(monkeypatch):
+def test_an_unknown_mechanism_in_the_environment_is_a_settings_error(monkeypatch):
     monkeypatch.setenv(node_program.WITHOUT_VARIABLE, "nothing")
     with pytest.raises(node_program.platform_settings.SettingsError, match="LINEWORKS_WITHOUT"):
         node_program._load_settings()
 
 
 @pytest.mark.parametrize("mechanism", Mechanism, ids=lambda mechanism: mechanism.value)
-def test_without_a_mechanism_searches_and_reads_are_answered_correctly(mechanism):
+def test_searches_and_reads_are_answered_correctly_without_any_one_mechanism(mechanism):
     world = test_forwarding.build(without=[mechanism])
     replies = {}
     for name in world.nodes:
@@ -45,7 +45,7 @@
         assert reply.status == 200
 
 
-def seconds_with_a_slow_target(without):
+def search_seconds_with_a_slow_target(without):
     world = test_forwarding.build(without=without)
     slow = next(
         target
@@ -60,6 +60,8 @@
 
 def test_a_search_with_a_slow_target_is_late_without_hedges_and_early_answers():
     both = [Mechanism.SEARCH_HEDGES, Mechanism.EARLY_ANSWER]
-    assert seconds_with_a_slow_target(both) > 1.0
-    assert seconds_with_a_slow_target([Mechanism.SEARCH_HEDGES]) == pytest.approx(0.187, abs=0.003)
-    assert seconds_with_a_slow_target([]) < 0.18
+    assert search_seconds_with_a_slow_target(both) > 1.0
+    assert search_seconds_with_a_slow_target([Mechanism.SEARCH_HEDGES]) == pytest.approx(
+        0.187, abs=0.003
+    )
+    assert search_seconds_with_a_slow_target([]) < 0.18
--- a/tests/test_node_program.py
+++ b/tests/test_node_program.py
@@ -1,4 +1,4 @@
-"""The node's program as a process: bad settings, ports in use, a planned stop."""
+"""The node's program as a process: invalid settings, ports in use, signals and a planned stop."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 PROGRAM = pathlib.Path(__file__).parent.parent / "src" / "lineworks_node.py"
 LIMIT = 60
-"""Seconds after which a process that hangs is ended."""
+"""Timeout in seconds after which a hanging process fails the test."""
 
 IMPORT_SECONDS = 2.0
-"""Seconds that an import takes on a starved machine; up to 2.65 were seen."""
+"""Simulated import time in seconds on a machine short of processor time; up to 2.65 were seen."""
 
 CALLER_BUDGET = 0.5
-"""Seconds that a caller waits."""
+"""Time budget of a caller's request, in seconds."""
 
 LATE_SECONDS = 0.5
-"""Seconds after its deadline at which a caller must have its answer, as in the soak."""
+"""Maximum delay of an answer past its deadline, in seconds; the soak uses the same."""
 
 
 def write_settings(path, front, ready, inner):
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(("settings", "named"), [("", "LINEWORKS_SETTINGS"), ("/", "directory")])
-def test_settings_that_cannot_be_read_end_the_process_with_one_line(settings, named):
+def test_unreadable_settings_end_the_process_with_one_log_line(settings, named):
     process = start(settings)
     output, _ = process.communicate(timeout=LIMIT)
     assert process.returncode == 2
@@ -69,7 +69,7 @@
 
 @pytest.fixture
 def ports():
-    """Ports that no other run takes meanwhile."""
+    """Ports that are reserved for this test."""
     claim = processes.claim_ports(4)
     yield claim.ports
     claim.release()
@@ -87,7 +87,7 @@
     assert lines(output)[-1]["event"] == "port_in_use"
 
 
-def test_a_planned_stop_ends_with_success(tmp_path, ports):
+def test_a_reload_is_logged_and_a_planned_stop_exits_with_0(tmp_path, ports):
     front, ready, inner, _ = ports
     process = start(write_settings(tmp_path / "s.yaml", front, ready, inner))
     assert process.stdout is not None
@@ -109,9 +109,10 @@
     assert events[-1] == "stopped"
 
 
-def test_a_signal_to_stop_during_the_imports_cuts_no_caller(tmp_path, ports):
-    # The callers' port is open before the imports. SIGTERM ended the process on the spot then, with
-    # status -15 and no log line, and the caller's connection was reset with its request in it.
+def test_sigterm_during_the_imports_resets_no_connection(tmp_path, ports):
+    # The callers' port is open before the imports. Without early handlers, SIGTERM then terminated
+    # the process at once (status -15, no log line), and connections were reset with requests in
+    # flight.
     front, ready, inner, _ = ports
     process = start(write_settings(tmp_path / "s.yaml", front, ready, inner))
     caller = connect(front)
@@ -125,10 +126,10 @@
     assert [line["event"] for line in lines(output)][-1] == "stopped"
 
 
-def test_signals_after_the_end_of_a_stop_do_not_change_how_it_ended(tmp_path, ports):
-    # Found by the soak, seed 60 of 30 s with 8 instances a hall: a second signal to stop came 0.03
-    # seconds after `stopped`, and the exit code was -15. While Python ends, its handlers are gone
-    # and the default of the signal holds. No caller lost anything; the platform saw a kill.
+def test_signals_after_a_planned_stop_do_not_change_the_exit_code(tmp_path, ports):
+    # Python's signal handlers are gone while the interpreter shuts down, and the default action
+    # applies: a second SIGTERM 0.03 seconds after `stopped` made the exit code -15 (soak seed 60 of
+    # 30 s, 8 instances a hall). No caller was affected, but the platform saw a killed process.
     front, ready, inner, _ = ports
     process = start(write_settings(tmp_path / "s.yaml", front, ready, inner))
     assert process.stdout is not None
@@ -142,7 +143,7 @@
 
 
 def read_until(output, text):
-    """Read lines until one holds a text."""
+    """Read lines until one contains a text."""
     line = output.readline()
     while text not in line:
         assert line
@@ -160,13 +161,14 @@
 
 builtins.__import__ = slow_import
 """
-"""Loaded by Python before a program: one import takes as long as all do on a starved machine."""
+"""Content of `sitecustomize.py`, which Python runs before the program. It makes one import as slow
+as all imports together are on a machine short of processor time."""
 
 
-def test_a_caller_that_comes_during_slow_imports_is_answered_by_its_deadline(tmp_path, ports):
-    # Found by the soak, seeds 30 and 32 of 20 s on a busy machine: 3 and 14 callers of the first
-    # second waited past their deadline. By the logs `started` came up to 1.85 and 2.65 s after
-    # their requests: the port is opened before the imports, and nobody reads until they are done.
+def test_a_request_during_slow_imports_is_answered_by_its_deadline(tmp_path, ports):
+    # The port is opened before the imports, and the event loop reads requests only after them.
+    # On a busy machine `started` was logged up to 1.85 and 2.65 s after the first requests, and 3
+    # and 14 callers waited past their deadlines (soak seeds 30 and 32 of 20 s).
     (tmp_path / "sitecustomize.py").write_text(SLOW_IMPORTS)
     front, ready, inner, _ = ports
     settings = write_settings(tmp_path / "s.yaml", front, ready, inner)
@@ -184,7 +186,7 @@
 
 
 def connect(port):
-    """Connect as soon as a process listens."""
+    """Connect to a port as soon as a process listens on it."""
     until = time.monotonic() + LIMIT
     while True:
         try:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""The start of a process: callers may connect before anything slow is imported."""
+"""The start of a process: the port opens before slow imports, and unused modules stay unloaded."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from lineworks.kernel import lean_imports, listening, steady_reactor
 
 LIMIT = 60
-"""Seconds after which a process that hangs is ended."""
+"""Timeout in seconds of a child process, and maximum number of reactor iterations."""
 
 
 class Echo(protocol.Protocol):
-    """Sends back what it gets."""
+    """Echoes received data."""
 
     def dataReceived(self, data):  # noqa: N802
         self.transport.write(data)
 
 
-def test_a_caller_that_connects_before_the_reactor_runs_is_served_by_it():
+def test_the_reactor_serves_a_connection_made_before_it_runs():
     opened = listening.open_port("127.0.0.1", 0)
     caller = socket.create_connection(opened.getsockname())
     caller.sendall(b"early")
@@ -45,7 +45,7 @@
     assert answer == b"early"
 
 
-def test_a_port_in_use_is_an_error_and_leaves_no_socket():
+def test_opening_a_port_in_use_raises_an_error_and_leaks_no_socket():
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -54,7 +54,7 @@
 
 
 def modules_after(code):
-    """List the modules that a fresh interpreter has imported after some code."""
+    """Return the modules that a new interpreter has imported after running some code."""
     script = f"import sys\n{code}\nprint('\\n'.join(sys.modules))"
     done = subprocess.run(
         [sys.executable, "-c", script], capture_output=True, text=True, timeout=LIMIT, check=True
@@ -62,14 +62,14 @@
     return set(done.stdout.split())
 
 
-def test_what_is_imported_before_the_port_opens_holds_nothing_of_twisted():
+def test_no_slow_package_is_imported_before_the_port_opens():
     found = modules_after("import lineworks.programs.node")
     assert "lineworks.kernel.listening" in found
     slow = ("twisted", "capnp", "yaml")
     assert not {name for name in found if name.partition(".")[0] in slow}
 
 
-def test_the_whole_node_needs_no_http_client_of_the_standard_library():
+def test_the_node_does_not_import_the_standard_http_client():
     found = modules_after(
         "from lineworks.programs import node\nnode._install_reactor()\n"
         "import lineworks.forwarding.node"
@@ -78,7 +78,7 @@
     assert not found & {"http.cookiejar", "urllib.request", "http.client"}
 
 
-def test_an_unused_module_is_the_real_one_for_whoever_imports_it_later():
+def test_a_module_that_was_left_out_can_be_imported_later():
     found = modules_after(
         "from lineworks.kernel import lean_imports\n"
         "with lean_imports.without_unused():\n"
@@ -91,7 +91,7 @@
     assert "urllib.request" in found
 
 
-def test_a_module_that_is_in_use_stays(monkeypatch):
+def test_a_module_that_is_already_imported_is_kept(monkeypatch):
     used = types.ModuleType("http.cookiejar")
     monkeypatch.setitem(sys.modules, "http.cookiejar", used)
     with lean_imports.without_unused():
