--- a/src/lineworks/programs/_log_lines.py
+++ b/src/lineworks/programs/_log_lines.py
@@ -1,4 +1,4 @@
-"""Reads the lines of instances' logs: JSON objects, perhaps behind what a collector put there."""
+"""Parses lines of instances' logs: JSON objects, optionally behind a log collector's prefix."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from typing import Any
 
 
-def fields_of(text: str) -> dict[str, Any] | None:
-    """Read a line.
+def parse_line(text: str) -> dict[str, Any] | None:
+    """Parse a log line.
 
     Args:
-        text: The line; what stands before the first brace is passed over.
+        text: The line; anything before the first opening brace is ignored.
 
     Returns:
-        Its fields, or None when it is no log line.
+        The line's fields, or None if it holds no JSON object.
     """
     start = text.find("{")
     if start < 0:
         return None
     try:
-        found = json.loads(text[start:])
+        parsed = json.loads(text[start:])
     except ValueError:
         return None
-    return found if isinstance(found, dict) else None
+    return parsed if isinstance(parsed, dict) else None
 
 
-def number(value: Any) -> float:
-    """Read a field that should be a number; 0 when it is none."""
+def number_or_zero(value: Any) -> float:
+    """Return a field's value as a float, or 0 if it is not a number."""
     return float(value) if isinstance(value, int | float) else 0.0
--- a/src/lineworks/programs/_timeline.py
+++ b/src/lineworks/programs/_timeline.py
@@ -1,4 +1,4 @@
-"""Finds one request in the logs of several processes and puts its lines in order."""
+"""Collects the log lines of one request from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Sequence
 
-_LEADING = ("t", "level", "component", "event", "id")
+_HEADER_FIELDS = ("t", "level", "component", "event", "id")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,59 +18,59 @@
     """A log line that belongs to a request."""
 
     source: str
-    """Name of the file that it stands in."""
+    """Name of the log file."""
 
     number: int
-    """Number of the line in that file."""
+    """Line number in the file, starting at 1."""
 
     fields: dict[str, Any]
-    """Its fields."""
+    """The line's fields."""
 
     @property
     def time(self) -> float:
-        """Seconds on the clock of the process that wrote it."""
-        return _log_lines.number(self.fields.get("t"))
+        """Time in seconds on the clock of the process that wrote the line."""
+        return _log_lines.number_or_zero(self.fields.get("t"))
 
 
-def find(identity: str, name: str, lines: Iterable[str]) -> Iterator[Line]:
-    """Find the lines of a request in one log.
+def find(attempt_id: str, name: str, lines: Iterable[str]) -> Iterator[Line]:
+    """Find the lines of a request in a log.
 
     Args:
-        identity: The caller's identity of the try.
+        identity: The caller's ID of the attempt.
         name: Name of the log.
-        lines: Its lines; what is no JSON object is passed over.
+        lines: Lines of the log; lines without a JSON object are skipped.
 
     Yields:
-        The lines in order.
+        The request's lines, in the order of the log.
     """
     for number, text in enumerate(lines, 1):
-        fields = _log_lines.fields_of(text) if identity in text else None
-        if fields is not None and fields.get("id") == identity:
+        fields = _log_lines.parse_line(text) if attempt_id in text else None
+        if fields is not None and fields.get("id") == attempt_id:
             yield Line(name, number, fields)
 
 
-def write(identity: str, found: Sequence[Line]) -> list[str]:
-    """Write a request's timeline.
+def format_timeline(attempt_id: str, found: Sequence[Line]) -> list[str]:
+    """Format a request's timeline.
 
-    The clocks of processes are not comparable, so the lines are grouped by log.
+    The clocks of different processes are not comparable, so the lines are grouped by log.
 
     Args:
-        identity: The caller's identity of the try.
-        found: The lines of all logs.
+        identity: The caller's ID of the attempt.
+        found: The request's lines from all logs.
 
     Returns:
-        Lines for a person.
+        Lines of human-readable text.
     """
     if not found:
-        return [f"{identity}: no line in these logs; good requests are logged by sample only"]
-    written = [f"{identity}: {len(found)} lines"]
+        return [f"{attempt_id}: no line in these logs; good requests are logged by sample only"]
+    output = [f"{attempt_id}: {len(found)} lines"]
     for line in sorted(found, key=lambda item: (item.source, item.time, item.number)):
         fields = line.fields
-        written.append(
+        output.append(
             f"{line.source}:{line.number} t={line.time:.4f} "
             f"{fields.get('component', '?')} {fields.get('event', '?')}"
         )
         for name, value in fields.items():
-            if name not in _LEADING and value not in ("", [], None):
-                written.append(f"    {name}: {value}")
-    return written
+            if name not in _HEADER_FIELDS and value not in ("", [], None):
+                output.append(f"    {name}: {value}")
+    return output
--- a/src/lineworks/programs/ctl.py
+++ b/src/lineworks/programs/ctl.py
@@ -1,4 +1,4 @@
-"""`lineworks-ctl`: the operators' command line.
+"""`lineworks-ctl`: the operators' command-line tool.
 
 Examples:
 
@@ -10,31 +10,34 @@
 
 Commands:
 
-    apply FILE     change the configuration; refused when another change to the items came first
-    validate FILE  check a file without sending it anywhere
+    apply FILE     change the configuration; refused when another change to the same items was
+                   applied first
+    validate FILE  check a file locally, without sending it
     show           print the configuration in force
     diff FILE      print what applying a file would change
-    settle ID      find out what became of a change whose outcome is not known
-    explain QUERY  print which selector serves a search, and which group, shards and replicas
+    settle ID      determine the outcome of a change that `apply` could not confirm
+    explain QUERY  print the selector, group, shards and replicas that serve a search
     status         print an instance's versions, members, links and targets
     trace ID       print a query's timeline
     timeline ID FILE...
-                   find a forwarded request in the logs of several processes, for example
+                   print a forwarded request's lines from the logs of several processes, for example
                    lineworks-ctl timeline 9c41d07be2a35f68 akl-1.log wlg-1.log
-    losses FILE... tell from the logs of instances which requests went badly, where, when and why
-    drain          let an instance finish its requests and stop
-    suspects       list the requests under which targets ended, and which are refused; give the
-                   metrics address of an instance on the users' platform by --node
-    lift CONTENT   let a refused request have one careful trial, on all instances
+    losses FILE... report from instances' logs which requests failed, were late or incomplete, and
+                   where, when and why
+    drain          make an instance finish its requests and stop
+    suspects       list the requests suspected of crashing targets, and which of them are refused;
+                   --node gives the metrics address of an instance on the users' platform
+    lift CONTENT   allow one cautious trial of a refused request, on all instances
     workspaces     print the workspaces in force at the instance at --node and the version of its
                    configuration: counts of keys, priorities, home regions (limits: see quotas)
-    placement      print which routes have home regions and lack targets there, which halls are
-                   evacuated, and what cold targets get, as the instance at --node knows it
-    quotas         print the quotas of workspaces, who holds their tokens in the data hall of
-                   the instance at --node, and whose requests it refused
-
-Exit codes: 0 done; 1 failed; 2 the arguments or a file cannot be used; 3 refused, and so not
-done; 4 not known whether it was done (see `settle`).
+    placement      print the routes with home regions and which services lack targets there, which
+                   halls are evacuated, and the request rates of cold targets, as known to the
+                   instance at --node
+    quotas         print the quotas of workspaces, which instance holds their tokens in the data
+                   hall of the instance at --node, and the requests that it refused
+
+Exit codes: 0 done; 1 failed; 2 the arguments or a file are invalid; 3 refused, and so not
+executed; 4 unknown whether it was executed (see `settle`).
 """
 
 from __future__ import annotations
@@ -75,19 +78,19 @@
 _ID = absl.flags.DEFINE_string("id", None, "Identity of the change; random when not given.")
 _AUTHOR = absl.flags.DEFINE_string("author", None, "Who makes the change.")
 
-TIMEOUT = 30.0
-"""Seconds to wait for a reply."""
+TIMEOUT_SECONDS = 30.0
+"""Timeout of a request, in seconds."""
 
 
 class UsageError(Exception):
-    """The arguments or a file cannot be used."""
+    """The arguments or a file are invalid."""
 
 
 class Client:
-    """Signs and sends requests to an instance."""
+    """Sends signed requests to an instance."""
 
     def __init__(self, reactor: Any, entry: str, secret: bytes) -> None:
-        """Make a client; nothing is sent yet.
+        """Create a client without connecting.
 
         Args:
             reactor: Twisted's reactor.
@@ -102,27 +105,27 @@
     async def call(
         self, method: str, path: str, document: Any = None
     ) -> tuple[int, dict[str, Any]]:
-        """Send a request.
+        """Send a request and wait for its reply.
 
         Args:
             method: HTTP method.
-            path: Path.
-            document: JSON body, if any.
+            path: Path of the URL, with its query if any.
+            document: Document to send as the JSON body; None sends no body.
 
         Returns:
-            HTTP status and the reply.
+            HTTP status and the decoded JSON reply.
         """
         body = b"" if document is None else json.dumps(document).encode()
         signature = auth.sign(self._secret, method, path, body, time.time())
         headers = http_headers.Headers({auth.HEADER: [signature]})
         response = await self._http.request(
-            method, self._entry + path, data=body or None, headers=headers, timeout=TIMEOUT
+            method, self._entry + path, data=body or None, headers=headers, timeout=TIMEOUT_SECONDS
         )
         reply: dict[str, Any] = json.loads(await response.content())
         return response.code, reply
 
 
-def _read(path: str) -> configuration.ConfigurationFile:
+def _read_file(path: str) -> configuration.ConfigurationFile:
     try:
         return configuration.parse_file(pathlib.Path(path).read_bytes())
     except OSError as error:
@@ -139,7 +142,7 @@
 
 
 def _print_failure(status: int, reply: dict[str, Any]) -> int:
-    """Print why a request was not done, and choose the exit code."""
+    """Print why a request was not carried out, and return the exit code."""
     detail = reply.get("detail") or reply.get("title") or f"status {status}"
     if _JSON.value:
         _print(reply)
@@ -149,7 +152,7 @@
 
 
 async def _apply(client: Client, path: str) -> int:
-    file = _read(path)
+    file = _read_file(path)
     change_id = _ID.value or secrets.token_hex(8)
     document = {
         "id": change_id,
@@ -173,7 +176,7 @@
     if status == 502:
         text = f"MAY_HAVE_RUN: {reply.get('detail')}; find out with: settle {change_id}"
         _print(reply, text)
-        return _common.EXIT_UNSURE
+        return _common.EXIT_UNKNOWN
     return _print_failure(status, reply)
 
 
@@ -184,7 +187,7 @@
 
 async def _validate(client: Client, path: str) -> int:
     del client
-    items = _read(path).items()
+    items = _read_file(path).items()
     try:
         puts = {key: text for key, text in items.items() if text is not None}
         configuration.build(puts, 1, "")
@@ -211,7 +214,7 @@
 
 
 async def _diff(client: Client, path: str) -> int:
-    items = _read(path).items()
+    items = _read_file(path).items()
     status, reply = await client.call("GET", "/v1/configuration")
     if status != 200:
         return _print_failure(status, reply)
@@ -266,7 +269,7 @@
     "trace": _trace,
 }
 
-_PLAIN: dict[str, Callable[[Client], Awaitable[int]]] = {
+_WITHOUT_ARGUMENT: dict[str, Callable[[Client], Awaitable[int]]] = {
     "show": _show,
     "status": _status,
     "drain": _drain,
@@ -277,22 +280,22 @@
 _LOSSES = "losses"
 
 
-def _show_timeline(identity: str, paths: list[str]) -> int:
-    """Print a request's lines from logs; nothing is sent anywhere."""
+def _show_timeline(attempt_id: str, paths: list[str]) -> int:
+    """Print a request's lines from log files, without any network request."""
     found: list[_timeline.Line] = []
     for path in paths:
         try:
             with open(path, encoding="utf-8", errors="replace") as lines:
-                found += _timeline.find(identity, pathlib.Path(path).name, lines)
+                found += _timeline.find(attempt_id, pathlib.Path(path).name, lines)
         except OSError as error:
             return _common.fail(f"{path}: {error.strerror}")
-    for line in _timeline.write(identity, found):
+    for line in _timeline.format_timeline(attempt_id, found):
         print(line)
     return _common.EXIT_OK if found else _common.EXIT_FAILED
 
 
 def _show_losses(paths: list[str]) -> int:
-    """Print what went badly by the logs; nothing is sent anywhere."""
+    """Print the losses found in log files, without any network request."""
     reader = _losses.LossReader()
     found: list[_losses.Loss] = []
     for path in paths:
@@ -301,21 +304,21 @@
                 found += reader.read(pathlib.Path(path).stem, lines)
         except OSError as error:
             return _common.fail(f"{path}: {error.strerror}")
-    for line in _losses.write(found, reader.left_out):
+    for line in _losses.format_tables(found, reader.left_out):
         print(line)
     return _common.EXIT_OK
 
 
-async def _ask_node(reactor: Any, arguments: list[str]) -> int:
-    """Ask an instance on the users' platform."""
+async def _run_node_command(reactor: Any, arguments: list[str]) -> int:
+    """Send a command to an instance on the users' platform and print the reply."""
     client = Client(reactor, _NODE.value, b"")
     try:
-        status, reply = await client.call(*_node_commands.call_of(arguments))
+        status, reply = await client.call(*_node_commands.method_and_path(arguments))
     except net_error.ConnectError as error:
         return _common.fail(f"{_NODE.value}: {error}", _common.EXIT_FAILED)
     if status != 200:
         return _print_failure(status, reply)
-    _print(reply, _node_commands.text_of(arguments, reply))
+    _print(reply, _node_commands.format_reply(arguments, reply))
     return _common.EXIT_OK
 
 
@@ -323,8 +326,8 @@
     client = Client(reactor, _ENTRY.value, secret)
     command = arguments[0]
     try:
-        if command in _PLAIN:
-            return await _PLAIN[command](client)
+        if command in _WITHOUT_ARGUMENT:
+            return await _WITHOUT_ARGUMENT[command](client)
         return await _WITH_ARGUMENT[command](client, arguments[1])
     except UsageError as error:
         return _common.fail(str(error))
@@ -333,15 +336,17 @@
 
 
 def _check_arguments(arguments: list[str]) -> str | None:
-    """Say what is wrong with the arguments, or None."""
-    known = sorted((*_PLAIN, *_WITH_ARGUMENT, _TIMELINE, _LOSSES, *_node_commands.COMMANDS))
+    """Return an error message for invalid arguments, or None if they are valid."""
+    known = sorted(
+        (*_WITHOUT_ARGUMENT, *_WITH_ARGUMENT, _TIMELINE, _LOSSES, *_node_commands.COMMANDS)
+    )
     if not arguments or arguments[0] not in known:
         return f"give a command: {', '.join(known)} (see --help)"
     if arguments[0] == _TIMELINE:
         return None if len(arguments) > 2 else "timeline takes an identity and at least one file"
     if arguments[0] == _LOSSES:
         return None if len(arguments) > 1 else "losses takes at least one file"
-    without_argument = (*_PLAIN, *_node_commands.WITHOUT_ARGUMENT)
+    without_argument = (*_WITHOUT_ARGUMENT, *_node_commands.WITHOUT_ARGUMENT)
     wanted = 1 if arguments[0] in without_argument else 2
     if len(arguments) != wanted:
         return f"{arguments[0]} takes {wanted - 1} argument{'' if wanted == 2 else 's'}"
@@ -349,13 +354,13 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run one command.
+    """Run a command.
 
     Args:
-        argv: Program name and arguments left after flags.
+        argv: Program name and the arguments that remain after flag parsing.
 
     Returns:
-        The exit code; see the module's text.
+        The exit code; see the module's docstring.
     """
     problem = _check_arguments(argv[1:])
     if problem is not None:
@@ -365,7 +370,7 @@
     if argv[1] == _LOSSES:
         return _show_losses(argv[2:])
     if argv[1] in _node_commands.COMMANDS:
-        return _start(lambda reactor: _ask_node(reactor, argv[1:]))
+        return _run_in_reactor(lambda reactor: _run_node_command(reactor, argv[1:]))
     secret = b""
     if argv[1] != "validate":
         if _SECRET_FILE.value is None:
@@ -374,10 +379,10 @@
             secret = pathlib.Path(_SECRET_FILE.value).read_bytes().strip()
         except OSError as error:
             return _common.fail(f"--secret_file: {error.strerror}")
-    return _start(lambda reactor: _execute(reactor, argv[1:], secret))
+    return _run_in_reactor(lambda reactor: _execute(reactor, argv[1:], secret))
 
 
-def _start(work: Callable[[Any], Awaitable[int]]) -> int:
+def _run_in_reactor(work: Callable[[Any], Awaitable[int]]) -> int:
     _common.set_up_logs("warning")
     from twisted.internet import reactor
 
@@ -385,5 +390,5 @@
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Parse the flags and run the program; the console script's entry point."""
     absl.app.run(lambda argv: sys.exit(main(argv)))
--- a/src/lineworks/programs/entry.py
+++ b/src/lineworks/programs/entry.py
@@ -1,4 +1,4 @@
-"""`lineworks-entry`: one instance."""
+"""`lineworks-entry`: runs one instance."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 async def _serve(reactor: Any, options: settings.Settings) -> int:
-    entry = instance.Instance(reactor, options)
+    tier_instance = instance.Instance(reactor, options)
     try:
-        await entry.start()
+        await tier_instance.start()
     except net_error.CannotListenError as error:
         for key in ("caller", "operator", "peer"):
             if getattr(options, key).port == error.port:
@@ -28,22 +28,22 @@
         return _common.fail(f"port {error.port} is in use")
 
     def on_signal(number: int, frame: Any) -> None:
-        reactor.callFromThread(entry.lifecycle.stop_requested)
+        reactor.callFromThread(tier_instance.lifecycle.stop_requested)
 
     signal.signal(signal.SIGTERM, on_signal)
     signal.signal(signal.SIGINT, on_signal)
-    await entry.stopped
+    await tier_instance.stopped
     return _common.EXIT_OK
 
 
 def main(argv: list[str]) -> int:
-    """Run an instance until it is asked to stop.
+    """Run an instance until a signal or a drain request stops it.
 
     Args:
-        argv: Program name and arguments left after flags.
+        argv: Program name and the arguments that remain after flag parsing.
 
     Returns:
-        The exit code: 0 after a planned stop, 2 when the settings cannot be used.
+        The exit code: 0 after a planned stop, 2 when the settings are invalid or a port is in use.
     """
     if len(argv) > 1 or _SETTINGS.value is None:
         return _common.fail("usage: lineworks-entry --settings FILE")
@@ -59,5 +59,5 @@
 
 
 def run() -> None:
-    """Start from the command line."""
+    """Parse the flags and run the program; the console script's entry point."""
     absl.app.run(lambda argv: sys.exit(main(argv)))
