--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -219,7 +219,7 @@
             hall: The hall.
         """
         self.links.cut_halls.discard(hall)
-        self.clock.callLater(peer_links.REDIAL_CAP, self._notice_healed)
+        self.clock.callLater(peer_links.MAX_REDIAL_SECONDS, self._notice_healed)
 
     def kill_instance(self, name: str) -> None:
         """Kill an instance; its peers notice at once, because its connections break.
--- a/bench/control.py
+++ b/bench/control.py
@@ -66,7 +66,7 @@
         """Say who takes a kind of frame."""
         self._handlers[kind] = handler
 
-    def set_wanted(self, members: Mapping[str, member.Member]) -> None:
+    def set_peers(self, members: Mapping[str, member.Member]) -> None:
         """Open the links to members that can be reached."""
         for name in sorted(members):
             self._control.connect(self.me.name, name)
--- a/src/lineworks/forwarding/gatherers.py
+++ b/src/lineworks/forwarding/gatherers.py
@@ -271,11 +271,11 @@
 
     def _is_silent(self, name: str, link: Any, now: float) -> bool:
         peer = self._peer(name)
-        if link.heard_at < peer.silent_at:
+        if link.last_received_at < peer.silent_at:
             return True
         if not peer.open:
             return False
-        return now - max(link.heard_at, peer.waiting_since) > SILENCE_SECONDS
+        return now - max(link.last_received_at, peer.waiting_since) > SILENCE_SECONDS
 
     def _on_parts(self, link: Any, frame: node_frames.GatherParts) -> None:
         pending = self._pending.get(frame.number)
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -278,7 +278,7 @@
         links.handle(node_frames.GatherCancel, self._on_cancel)
         links.on_up.append(lambda hello: self._count_instances())
         links.on_down.append(lambda name: self._count_instances())
-        links.on_closed_by.append(self._gatherer.on_origin_lost)
+        links.on_link_closed.append(self._gatherer.on_origin_lost)
         self._metrics.collect_from(self._counts)
         self._kernel.register("loop_delay", self._loop_delay)
         self._kernel.register("store", self._store)
--- a/src/lineworks/forwarding/quota_ranks.py
+++ b/src/lineworks/forwarding/quota_ranks.py
@@ -216,7 +216,7 @@
         now: float = self._reactor.seconds()
         link = self._links.up.get(name)
         if link is not None:
-            return now - link.heard_at
+            return now - link.last_received_at
         return now - self._lost_at.get(name, self._started_at)
 
     def _on_down(self, name: str) -> None:
--- a/src/lineworks/forwarding/registration.py
+++ b/src/lineworks/forwarding/registration.py
@@ -172,7 +172,7 @@
                 # An instance with a link stays wanted even if its key is gone.
                 is_changed |= self._members.pop(name, None) is not None
         if is_changed:
-            self._links.set_wanted(self._members)
+            self._links.set_peers(self._members)
             self.on_listed()
 
     async def _keep(self, lease: store_items.Lease) -> None:
--- a/src/lineworks/services/cluster.py
+++ b/src/lineworks/services/cluster.py
@@ -245,7 +245,7 @@
         due.sort(key=self._heard_or_asked)
         for replica in unknown or due[:REPORTS_PER_TICK]:
             self._asked[replica.target.name] = now
-            asked = self._pool.ask_report(replica.target)
+            asked = self._pool.request_report(replica.target)
             asked.addCallback(self._on_report, replica.target.name)
 
     def _heard_or_asked(self, replica: replicas.Replica) -> float:
--- a/src/lineworks/services/config_keeper.py
+++ b/src/lineworks/services/config_keeper.py
@@ -24,16 +24,16 @@
 
     from lineworks.services import peer_link, peer_links
 
-WATCHERS = 2
+WATCHERS_PER_HALL = 2
 """Instances of a hall that watch the head."""
 
-SILENT_POLL = 30.0
+POLL_SECONDS = 30.0
 """Seconds after which an instance that does not watch asks the platform itself."""
 
-RETRY_START = 0.2
-"""Seconds before a failed read is tried again; doubled up to `RETRY_CAP`, with jitter."""
+MIN_RETRY_SECONDS = 0.2
+"""Seconds before a failed read is tried again; doubled up to `MAX_RETRY_SECONDS`, with jitter."""
 
-RETRY_CAP = 5.0
+MAX_RETRY_SECONDS = 5.0
 """Seconds between tries at most."""
 
 _WATCH_SUBJECT = "config-head"
@@ -107,7 +107,7 @@
     def is_watcher(self) -> bool:
         """Whether this instance is one of its hall's watchers."""
         members = self._hall_members()
-        return self._name in ownership.owners(_WATCH_SUBJECT, members, WATCHERS)
+        return self._name in ownership.owners(_WATCH_SUBJECT, members, WATCHERS_PER_HALL)
 
     def start(self) -> None:
         """Begin to follow the platform's head."""
@@ -130,58 +130,58 @@
         elif version == self.version and digest == self.digest:
             self._confirmed_at = max(self._confirmed_at, self._reactor.seconds() - 1.0)
         elif version == self.version and digest != self.digest:
-            self._alarm("forked", f"{peer} has another version {version}")
+            self._raise_alarm("forked", f"{peer} has another version {version}")
 
     async def refresh(self) -> None:
         """Read the platform's head now and follow it."""
         head, _ = await self._store.read_head()
-        await self._take_from_platform(head)
+        await self._adopt_from_platform(head)
 
     async def _follow_platform(self) -> None:
         position: positions.Position | None = None
-        pause = RETRY_START
+        delay = MIN_RETRY_SECONDS
         while True:
             try:
                 if self.is_watcher and position is not None:
                     head, seen = await self._store.watch_head(position)
                 else:
                     head, seen = await self._store.read_head()
-                await self._take_from_platform(head)
+                await self._adopt_from_platform(head)
                 # Only now, so that a head whose items could not be read is asked for again.
                 position = seen
-                pause = RETRY_START
+                delay = MIN_RETRY_SECONDS
                 if not self.is_watcher:
-                    await self._sleep(SILENT_POLL)
+                    await self._sleep(POLL_SECONDS)
             except (platform_client.PlatformError, configuration.ConfigurationError) as error:
                 _log.warning("platform_read_failed", error=str(error))
-                await self._sleep(pause)
-                pause = min(RETRY_CAP, pause * 2)
+                await self._sleep(delay)
+                delay = min(MAX_RETRY_SECONDS, delay * 2)
 
-    async def _take_from_platform(self, head: changes.Head) -> None:
+    async def _adopt_from_platform(self, head: changes.Head) -> None:
         step = changes.follow(self.version, self.digest, head)
         if isinstance(step, changes.Rejected):
-            self._alarm(step.reason, step.detail)
+            self._raise_alarm(step.reason, step.detail)
             return
         if isinstance(step, changes.LoadManifest):
             manifest = await self._store.read_manifest(head.manifest)
-            self._put_in_force(head, await self._store.read_items(manifest))
+            self._activate(head, await self._store.read_items(manifest))
         elif step.changes:
-            wanted, deleted = _net(step.changes)
-            fetched = await self._store.read_items(wanted)
-            self._put_in_force(head, _apply(self._items, fetched, deleted))
+            puts, deleted = _combine(step.changes)
+            fetched = await self._store.read_items(puts)
+            self._activate(head, _apply_changes(self._items, fetched, deleted))
         self._confirmed_at = self._reactor.seconds()
 
     def _on_pull(self, link: peer_link.PeerLink, frame: frames.ConfigPull) -> None:
         if frame.version >= self.version:
             return
-        link.send(frames.ConfigChanges(self._transfer(frame.version, frame.digest)))
+        link.send(frames.ConfigChanges(self._encode_transfer(frame.version, frame.digest)))
 
-    def _transfer(self, version: int, digest: str) -> bytes:
+    def _encode_transfer(self, version: int, digest: str) -> bytes:
         """Write what a peer at a version lacks: changed items, or all where it is too far back."""
         step = changes.follow(version, digest, self._head)
         if isinstance(step, changes.ApplyChanges):
-            wanted, _ = _net(step.changes)
-            items = {key: self._items[key] for key in wanted}
+            puts, _ = _combine(step.changes)
+            items = {key: self._items[key] for key in puts}
         else:
             items = self._items
         document = {
@@ -203,18 +203,18 @@
         step = changes.follow(self.version, self.digest, head)
         if isinstance(step, changes.Rejected):
             if step.reason != "older":
-                self._alarm(step.reason, step.detail)
+                self._raise_alarm(step.reason, step.detail)
             return
         try:
             if is_whole:
-                self._put_in_force(head, items)
+                self._activate(head, items)
             elif isinstance(step, changes.ApplyChanges) and step.changes:
-                _, deleted = _net(step.changes)
-                self._put_in_force(head, _apply(self._items, items, deleted))
+                _, deleted = _combine(step.changes)
+                self._activate(head, _apply_changes(self._items, items, deleted))
         except configuration.ConfigurationError as error:
-            self._alarm("damaged", str(error))
+            self._raise_alarm("damaged", str(error))
 
-    def _put_in_force(self, head: changes.Head, items: dict[str, str]) -> None:
+    def _activate(self, head: changes.Head, items: dict[str, str]) -> None:
         """Check a configuration against its manifest and put it in force.
 
         The version is compared again, since another one may have come while this was read.
@@ -224,17 +224,17 @@
         manifest = {key: changes.content_digest(text) for key, text in items.items()}
         if changes.content_digest(configuration.canonical(manifest)) != head.manifest:
             raise configuration.ConfigurationError("the items do not make up the manifest")
-        built = configuration.build(items, head.version, head.digest)
+        new_catalog = configuration.build(items, head.version, head.digest)
         self._items = items
         self._head = head
         self._confirmed_at = self._reactor.seconds()
         _log.info("configuration_in_force", version=head.version, digest=head.digest[:12])
         weights = configuration.class_weights(items)
         for listener in self.listeners:
-            listener(built, weights)
+            listener(new_catalog, weights)
         self._links.broadcast(self._links.make_heartbeat())
 
-    def _alarm(self, kind: str, detail: str) -> None:
+    def _raise_alarm(self, kind: str, detail: str) -> None:
         self.alarms[kind] = self.alarms.get(kind, 0) + 1
         _log.error("configuration_alarm", kind=kind, detail=detail)
 
@@ -242,7 +242,7 @@
         await task.sleep(self._reactor, seconds * (0.5 + self._rng.random() / 2))
 
 
-def _net(steps: tuple[changes.Change, ...]) -> tuple[dict[str, str], set[str]]:
+def _combine(steps: tuple[changes.Change, ...]) -> tuple[dict[str, str], set[str]]:
     """Sum up changes: content digests of the keys put, and the keys deleted."""
     puts: dict[str, str] = {}
     deleted: set[str] = set()
@@ -256,6 +256,8 @@
     return puts, deleted
 
 
-def _apply(items: dict[str, str], fetched: dict[str, str], deleted: set[str]) -> dict[str, str]:
+def _apply_changes(
+    items: dict[str, str], fetched: dict[str, str], deleted: set[str]
+) -> dict[str, str]:
     kept = {key: text for key, text in items.items() if key not in deleted}
     return {**kept, **fetched}
--- a/src/lineworks/services/config_store.py
+++ b/src/lineworks/services/config_store.py
@@ -22,12 +22,12 @@
 HEAD_KEY = "config/head"
 """Key of the head."""
 
-MAX_VALUE = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 """Bytes that a value of the platform may have."""
 
-_MAX_TRIES = 20
-_RETRY_START = 0.01
-_RETRY_CAP = 0.5
+_MAX_ATTEMPTS = 20
+_MIN_RETRY_SECONDS = 0.01
+_MAX_RETRY_SECONDS = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -159,7 +159,7 @@
             platform_client.PlatformError: The platform cannot be reached or lacks an item.
             configuration.ConfigurationError: An item does not have its digest.
         """
-        return {key: await self._content("item", digest) for key, digest in wanted.items()}
+        return {key: await self._read_content("item", digest) for key, digest in wanted.items()}
 
     async def read_manifest(self, digest: str) -> dict[str, str]:
         """Read a manifest.
@@ -176,7 +176,7 @@
         """
         if not digest:
             return {}
-        found: dict[str, str] = json.loads(await self._content("manifest", digest))
+        found: dict[str, str] = json.loads(await self._read_content("manifest", digest))
         return found
 
     async def apply(
@@ -193,27 +193,27 @@
         Returns:
             `Accepted` only when the change is known to be in the chain.
         """
-        is_sent = False
-        for attempt in range(_MAX_TRIES):
+        is_uncertain = False
+        for attempt in range(_MAX_ATTEMPTS):
             try:
                 outcome = await self._try_apply(items, base, change_id, author)
             except platform_client.PlatformUnsureError:
-                is_sent = True
+                is_uncertain = True
                 outcome = None
             except platform_client.PlatformError as error:
-                if not is_sent:
+                if not is_uncertain:
                     return Refused("platform", str(error))
                 outcome = None
             except configuration.ConfigurationError as error:
-                if is_sent:
+                if is_uncertain:
                     return Unsure(change_id, str(error))
                 return Refused("invalid", str(error))
             if outcome is not None:
                 return outcome
-            await task.sleep(self._clock, self._pause(attempt))
-        if is_sent:
+            await task.sleep(self._clock, self._retry_delay(attempt))
+        if is_uncertain:
             return Unsure(change_id, "the platform gave no clear reply")
-        return Refused("busy", f"other changes came first {_MAX_TRIES} times")
+        return Refused("busy", f"other changes came first {_MAX_ATTEMPTS} times")
 
     async def settle(self, change_id: str) -> Outcome:
         """Find out what became of a change.
@@ -229,7 +229,7 @@
             head, _ = await self.read_head()
         except (platform_client.PlatformError, configuration.ConfigurationError) as error:
             return Unsure(change_id, str(error))
-        found = _find(head, change_id)
+        found = _find_change(head, change_id)
         if found is not None:
             return Accepted(found)
         kept = len(head.changes)
@@ -240,14 +240,14 @@
     ) -> Outcome | None:
         """Try once; None means that another change came first or that nothing is known yet."""
         head, position = await self.read_head()
-        found = _find(head, change_id)
+        found = _find_change(head, change_id)
         if found is not None:
             return Accepted(found)
-        clash = changes.conflict(head, base, frozenset(items))
-        if isinstance(clash, changes.Conflict):
-            return Refused("conflict", _conflict_detail(clash))
-        if isinstance(clash, changes.UnknownBase):
-            detail = f"base version {clash.base} is not in reach of version {clash.version}"
+        rejection = changes.conflict(head, base, frozenset(items))
+        if isinstance(rejection, changes.Conflict):
+            return Refused("conflict", _conflict_detail(rejection))
+        if isinstance(rejection, changes.UnknownBase):
+            detail = f"base version {rejection.base} is not in reach of version {rejection.version}"
             return Refused("base", detail)
         puts = {
             key: changes.content_digest(content)
@@ -259,25 +259,25 @@
         missing = [key for key in deletes if manifest.pop(key, None) is None]
         if missing:
             return Refused("invalid", f"{missing[0]}: there is no such item to delete")
-        await self._check(manifest, items)
+        await self._validate(manifest, items)
         for key, digest in puts.items():
             await self._write_content("item", digest, str(items[key]))
         text = configuration.canonical(manifest)
         await self._write_content("manifest", changes.content_digest(text), text)
-        following = changes.extend(
+        new_head = changes.extend(
             head, change_id, author, puts, deletes, changes.content_digest(text)
         )
-        if await self._platform.compare_and_swap(HEAD_KEY, head_to_json(following), position):
-            return Accepted(following.changes[-1])
+        if await self._platform.compare_and_swap(HEAD_KEY, head_to_json(new_head), position):
+            return Accepted(new_head.changes[-1])
         return None
 
-    async def _check(self, manifest: Mapping[str, str], items: Mapping[str, str | None]) -> None:
+    async def _validate(self, manifest: Mapping[str, str], items: Mapping[str, str | None]) -> None:
         """Build the whole configuration as it would be, so that a bad one is never accepted."""
         known = {key: content for key, content in items.items() if content is not None}
         others = {key: digest for key, digest in manifest.items() if key not in known}
         configuration.build({**await self.read_items(others), **known}, 1, "")
 
-    async def _content(self, kind: str, digest: str) -> str:
+    async def _read_content(self, kind: str, digest: str) -> str:
         value = await self._platform.get(f"config/{kind}/{digest}")
         if value.data is None:
             raise platform_client.PlatformError(f"{kind} {digest[:12]} is missing")
@@ -289,8 +289,10 @@
         key = f"config/{kind}/{digest}"
         if key in self._written:
             return
-        if len(content.encode()) > MAX_VALUE:
-            raise configuration.ConfigurationError(f"the {kind} is larger than {MAX_VALUE} bytes")
+        if len(content.encode()) > MAX_VALUE_BYTES:
+            raise configuration.ConfigurationError(
+                f"the {kind} is larger than {MAX_VALUE_BYTES} bytes"
+            )
         try:
             await self._platform.put(key, content)
         except platform_client.PlatformUnsureError as error:
@@ -298,9 +300,9 @@
             raise platform_client.PlatformError(str(error)) from error
         self._written.add(key)
 
-    def _pause(self, attempt: int) -> float:
-        longest = min(_RETRY_CAP, _RETRY_START * 2**attempt)
-        return float(longest * (0.5 + self._rng.random() / 2))
+    def _retry_delay(self, attempt: int) -> float:
+        limit = min(_MAX_RETRY_SECONDS, _MIN_RETRY_SECONDS * 2**attempt)
+        return float(limit * (0.5 + self._rng.random() / 2))
 
 
 def _parse_head(
@@ -311,13 +313,13 @@
     return head_from_json(value.data), value.position
 
 
-def _find(head: changes.Head, change_id: str) -> changes.Change | None:
+def _find_change(head: changes.Head, change_id: str) -> changes.Change | None:
     return next((change for change in head.changes if change.id == change_id), None)
 
 
-def _conflict_detail(clash: changes.Conflict) -> str:
-    winner = clash.winner
+def _conflict_detail(rejection: changes.Conflict) -> str:
+    winner = rejection.winner
     return (
         f"change {winner.id} by {winner.author} (version {winner.version}) "
-        f"also touches {', '.join(clash.keys)}"
+        f"also touches {', '.join(rejection.keys)}"
     )
--- a/src/lineworks/services/membership.py
+++ b/src/lineworks/services/membership.py
@@ -32,13 +32,13 @@
 LIST_SECONDS = 3.0
 """Seconds between reads of the list by two instances of each hall."""
 
-REST_SECONDS = 30.0
+SLOW_LIST_SECONDS = 30.0
 """Seconds between reads of the list by all others; a new instance dials them itself."""
 
-READERS = 2
+READERS_PER_HALL = 2
 """Instances of a hall that read the list often."""
 
-_READ_SUBJECT = "membership-list"
+_READER_SUBJECT = "membership-list"
 
 _log = structlog.get_logger(component="membership")
 
@@ -95,7 +95,7 @@
 
     def start(self) -> None:
         """Begin to announce this instance and to read the list."""
-        self._links.set_wanted({seed.name: seed for seed in self._seeds})
+        self._links.set_peers({seed.name: seed for seed in self._seeds})
         self._task.start()
 
     def stop(self) -> None:
@@ -106,7 +106,7 @@
         """Tell all peers, and then the platform, that this instance takes no new work."""
         self.is_leaving = True
         self._links.broadcast(self._links.make_heartbeat())
-        self._publish()
+        self._notify_listeners()
         try:
             await self._announce()
         except (platform_client.PlatformError, platform_client.PlatformUnsureError) as error:
@@ -121,7 +121,7 @@
         """
         if is_leaving:
             self._state.on_leaving(peer)
-        self._publish()
+        self._notify_listeners()
 
     async def _run(self) -> None:
         """Announce and read the list, each when it is due; a failed call is due again soon."""
@@ -133,17 +133,17 @@
                     await self._announce()
                     announce_at = now + ANNOUNCE_SECONDS
                 if now >= list_at:
-                    self._take_list(await self._platform.members())
-                    list_at = now + (LIST_SECONDS if self._is_reader else REST_SECONDS)
+                    self._process_list(await self._platform.members())
+                    list_at = now + (LIST_SECONDS if self._is_reader else SLOW_LIST_SECONDS)
             except (platform_client.PlatformError, platform_client.PlatformUnsureError) as error:
                 _log.warning("membership_failed", error=str(error))
-            self._publish()
+            self._notify_listeners()
             pause = LIST_SECONDS * (0.75 + self._rng.random() / 2)
             await task.sleep(self._reactor, pause)
 
     @property
     def _is_reader(self) -> bool:
-        readers = ownership.owners(_READ_SUBJECT, self.hall_members(), READERS)
+        readers = ownership.owners(_READER_SUBJECT, self.hall_members(), READERS_PER_HALL)
         return self._me.name in readers
 
     async def _announce(self) -> None:
@@ -151,7 +151,7 @@
         entry = member.Member(me.name, me.hall, me.host, me.port, me.incarnation, self.is_leaving)
         await self._platform.announce(entry, LEASE_SECONDS)
 
-    def _take_list(self, listed: list[member.Member]) -> None:
+    def _process_list(self, listed: list[member.Member]) -> None:
         now = self._reactor.seconds()
         self._listed = {member.name: member for member in listed if member.name != self._me.name}
         self._state.on_list(
@@ -166,17 +166,17 @@
         wanted = {seed.name: seed for seed in self._seeds}
         wanted.update(self._listed)
         wanted.pop(self._me.name, None)
-        self._links.set_wanted(wanted)
+        self._links.set_peers(wanted)
 
     def _on_up(self, hello: frames.Hello) -> None:
         self._state.on_up(hello.name, hello.hall, hello.incarnation)
-        self._publish()
+        self._notify_listeners()
 
     def _on_down(self, name: str) -> None:
         self._state.on_down(name, self._reactor.seconds())
-        self._publish()
+        self._notify_listeners()
 
-    def _publish(self) -> None:
+    def _notify_listeners(self) -> None:
         live = self.live
         if live == self._published:
             return
--- a/src/lineworks/services/peer_link.py
+++ b/src/lineworks/services/peer_link.py
@@ -54,10 +54,10 @@
     def make_hello(self, nonce: bytes) -> frames.Hello:
         """Answer a challenge."""
 
-    def is_genuine(self, hello: frames.Hello, nonce: bytes) -> bool:
+    def is_authentic(self, hello: frames.Hello, nonce: bytes) -> bool:
         """Check a hello against the challenge that was sent."""
 
-    def on_opened(self, link: PeerLink) -> None:
+    def on_authenticated(self, link: PeerLink) -> None:
         """Take a proven link into use."""
 
     def on_frame(self, link: PeerLink, frame: frames.Frame) -> None:
@@ -87,16 +87,16 @@
             deflate.COMPRESSION_LEVEL if owner.compresses else deflate.NO_COMPRESSION
         )
         self._inflater = deflate.Inflater(codec.MAX_FRAME_BYTES)
-        self._is_dead = False
-        self._beat_data = b""
-        self._beat: frames.Frame | None = None
+        self._is_closed = False
+        self._last_heartbeat_data = b""
+        self._last_heartbeat: frames.Frame | None = None
         self.hello: frames.Hello | None = None
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
 
     def connectionMade(self) -> None:  # noqa: N802
         """Challenge the other side."""
         self.transport.setTcpNoDelay(True)
-        self.heard_at = self._owner.now
+        self.last_received_at = self._owner.now
         self.send(frames.Challenge(self._nonce))
 
     def send(self, frame: frames.Frame) -> None:
@@ -113,9 +113,11 @@
         Args:
             data: What `codec.encode` made of it, just now.
         """
-        packed = self._deflater.deflate(data)
+        compressed = self._deflater.deflate(data)
         # At once: what a gatherer does should not wait for the calls that follow its query.
-        immediate_write.write(self.transport, struct.pack(self.structFormat, len(packed)) + packed)
+        immediate_write.write(
+            self.transport, struct.pack(self.structFormat, len(compressed)) + compressed
+        )
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
         """Take in one frame.
@@ -123,9 +125,9 @@
         Args:
             string: Its bytes.
         """
-        if self._is_dead:
+        if self._is_closed:
             return
-        self.heard_at = self._owner.now
+        self.last_received_at = self._owner.now
         try:
             frame = self._decode(self._inflater.inflate(string))
         except codec.MalformedFrameError as error:
@@ -138,11 +140,11 @@
 
     def _decode(self, data: bytes) -> frames.Frame:
         """Read a frame; most are heartbeats that say the same as the last one."""
-        if self._beat is not None and data == self._beat_data:
-            return self._beat
-        frame = codec.decode(data, self.heard_at)
+        if self._last_heartbeat is not None and data == self._last_heartbeat_data:
+            return self._last_heartbeat
+        frame = codec.decode(data, self.last_received_at)
         if isinstance(frame, frames.Heartbeat):
-            self._beat_data, self._beat = data, frame
+            self._last_heartbeat_data, self._last_heartbeat = data, frame
         return frame
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
@@ -159,7 +161,7 @@
         Args:
             reason: Why, by Twisted.
         """
-        self._is_dead = True
+        self._is_closed = True
         self._owner.on_closed(self)
 
     def close(self, reason: str) -> None:
@@ -168,9 +170,9 @@
         Args:
             reason: Why; it is logged.
         """
-        if self._is_dead:
+        if self._is_closed:
             return
-        self._is_dead = True
+        self._is_closed = True
         name = self.hello.name if self.hello else None
         _log.warning("link_closed", peer=name, reason=reason)
         self._owner.counts[f"closed:{reason.partition(':')[0]}"] += 1
@@ -180,10 +182,10 @@
         if isinstance(frame, frames.Challenge):
             self.send(self._owner.make_hello(frame.nonce))
         elif isinstance(frame, frames.Hello):
-            if not self._owner.is_genuine(frame, self._nonce):
+            if not self._owner.is_authentic(frame, self._nonce):
                 self.close("refused: the signature is wrong")
                 return
             self.hello = frame
-            self._owner.on_opened(self)
+            self._owner.on_authenticated(self)
         else:
             self.close(f"refused: {type(frame).__name__} before hello")
--- a/src/lineworks/services/peer_links.py
+++ b/src/lineworks/services/peer_links.py
@@ -31,13 +31,13 @@
 HANDSHAKE_SECONDS = 3.0
 """Seconds that a new link has to say who it is."""
 
-REDIAL_START = 0.1
+MIN_REDIAL_SECONDS = 0.1
 """Seconds before a lost link is dialled again."""
 
-REDIAL_CAP = 2.0
+MAX_REDIAL_SECONDS = 2.0
 """Seconds between dials at most."""
 
-SECOND_DIAL_SECONDS = 0.2
+HIGHER_NAME_DIAL_DELAY = 0.2
 """Seconds that the higher of two names leaves the dialling to the lower one: many round trips."""
 
 _log = structlog.get_logger(component="peer_links")
@@ -62,18 +62,18 @@
         self._incarnation = incarnation
         self._secret = secret
         self._links: dict[str, peer_link.PeerLink] = {}
-        self._unproven: set[peer_link.PeerLink] = set()
-        self._wanted: dict[str, member.Member] = {}
+        self._unauthenticated: set[peer_link.PeerLink] = set()
+        self._peers: dict[str, member.Member] = {}
         self._dialling: set[str] = set()
-        self._delays: dict[str, float] = {}
+        self._redial_delays: dict[str, float] = {}
         self._handlers: dict[type, Callable[[peer_link.PeerLink, Any], None]] = {}
         self._port: Any = None
-        self._timer: Any = None
+        self._heartbeat_timer: Any = None
         self._is_stopped = False
         self.heartbeat_seconds = HEARTBEAT_SECONDS
         self.compresses = True
         """Whether frames that are sent are compressed."""
-        self.on_closed_by: list[Callable[[str], None]] = []
+        self.on_link_closed: list[Callable[[str], None]] = []
         self.counts: collections.Counter[str] = collections.Counter()
         self.make_heartbeat: Callable[[], frames.Heartbeat] = lambda: frames.Heartbeat(False, 0, "")
         self.on_up: list[Callable[[frames.Hello], None]] = []
@@ -90,14 +90,14 @@
         """Proven links by the name of the peer."""
         return self._links
 
-    def handle(self, kind: type, handler: Callable[[peer_link.PeerLink, Any], None]) -> None:
+    def handle(self, frame_type: type, handler: Callable[[peer_link.PeerLink, Any], None]) -> None:
         """Say who takes a kind of frame.
 
         Args:
             kind: Class of the frame.
             handler: Called with the link and the frame.
         """
-        self._handlers[kind] = handler
+        self._handlers[frame_type] = handler
 
     def listen(self, host: str, port: int) -> Any:
         """Accept links.
@@ -119,30 +119,32 @@
 
     def start(self) -> None:
         """Begin the heartbeats."""
-        self._timer = self._reactor.callLater(self.heartbeat_seconds, self._beat)
+        self._heartbeat_timer = self._reactor.callLater(
+            self.heartbeat_seconds, self._send_heartbeats
+        )
 
     def stop(self) -> Any:
         """Close every link and stop listening."""
         self._is_stopped = True
-        if self._timer is not None and self._timer.active():
-            self._timer.cancel()
-        for link in [*self._links.values(), *self._unproven]:
+        if self._heartbeat_timer is not None and self._heartbeat_timer.active():
+            self._heartbeat_timer.cancel()
+        for link in [*self._links.values(), *self._unauthenticated]:
             link.transport.loseConnection()
         return self._port.stopListening() if self._port is not None else None
 
-    def set_wanted(self, members: Mapping[str, member.Member]) -> None:
+    def set_peers(self, members: Mapping[str, member.Member]) -> None:
         """Say which peers there are; those without a link are dialled.
 
         Args:
             members: Members by name.
         """
-        self._wanted = {name: member for name, member in members.items() if name != self._name}
-        for name in self._wanted:
+        self._peers = {name: member for name, member in members.items() if name != self._name}
+        for name in self._peers:
             # Of two that learn of each other at once the lower name dials; the other one waits.
             if self._name < name:
                 self._dial_if_needed(name)
             else:
-                self._reactor.callLater(SECOND_DIAL_SECONDS, self._dial_if_needed, name)
+                self._reactor.callLater(HIGHER_NAME_DIAL_DELAY, self._dial_if_needed, name)
 
     def send(self, name: str, frame: frames.Frame) -> bool:
         """Send a frame to a peer.
@@ -182,7 +184,7 @@
         mac = peer_link.sign(self._secret, nonce, self._name, self._hall, self._incarnation)
         return frames.Hello(self._name, self._hall, self._incarnation, mac)
 
-    def is_genuine(self, hello: frames.Hello, nonce: bytes) -> bool:
+    def is_authentic(self, hello: frames.Hello, nonce: bytes) -> bool:
         """Check a hello against the challenge that was sent.
 
         Args:
@@ -195,7 +197,7 @@
         expected = peer_link.sign(self._secret, nonce, hello.name, hello.hall, hello.incarnation)
         return hmac.compare_digest(expected, hello.mac) and hello.name != self._name
 
-    def on_opened(self, link: peer_link.PeerLink) -> None:
+    def on_authenticated(self, link: peer_link.PeerLink) -> None:
         """Take a proven link into use, in place of an older one to the same peer.
 
         Where both sides dialled at once, both keep the connection that the lower name opened.
@@ -205,32 +207,32 @@
         """
         hello = link.hello
         assert hello is not None
-        self._unproven.discard(link)
-        older = self._links.get(hello.name)
-        if older is not None:
-            if self._is_spare(link, older):
+        self._unauthenticated.discard(link)
+        existing = self._links.get(hello.name)
+        if existing is not None:
+            if self._is_duplicate(link, existing):
                 link.close("spare: there is a link already")
                 return
             del self._links[hello.name]
-            older.close("replaced: another link was opened")
-            self._tell_down(hello.name)
+            existing.close("replaced: another link was opened")
+            self._notify_down(hello.name)
         self._links[hello.name] = link
-        self._delays.pop(hello.name, None)
+        self._redial_delays.pop(hello.name, None)
         _log.info("link_up", peer=hello.name, hall=hello.hall)
         link.send(self.make_heartbeat())
         for listener in self.on_up:
             listener(hello)
 
-    def _is_spare(self, link: peer_link.PeerLink, older: peer_link.PeerLink) -> bool:
+    def _is_duplicate(self, link: peer_link.PeerLink, existing: peer_link.PeerLink) -> bool:
         """Say whether a second link to the same process is the one to drop."""
         assert link.hello is not None
-        assert older.hello is not None
-        if link.hello.incarnation != older.hello.incarnation:
+        assert existing.hello is not None
+        if link.hello.incarnation != existing.hello.incarnation:
             return False
-        if link.is_dialler == older.is_dialler:
+        if link.is_dialler == existing.is_dialler:
             return False
-        is_mine_kept = self._name < link.hello.name
-        return link.is_dialler != is_mine_kept
+        keeps_own_connection = self._name < link.hello.name
+        return link.is_dialler != keeps_own_connection
 
     def on_frame(self, link: peer_link.PeerLink, frame: frames.Frame) -> None:
         """Hand a frame to the service that takes its kind.
@@ -251,19 +253,19 @@
         Args:
             link: The link.
         """
-        self._unproven.discard(link)
+        self._unauthenticated.discard(link)
         name = link.hello.name if link.hello else ""
         if link.hello is not None:
-            for listener in self.on_closed_by:
+            for listener in self.on_link_closed:
                 listener(link.hello.incarnation)
         if self._links.get(name) is link:
             del self._links[name]
             _log.info("link_down", peer=name)
-            self._tell_down(name)
+            self._notify_down(name)
         if name and name not in self._links:
             self._redial_later(name)
 
-    def _tell_down(self, name: str) -> None:
+    def _notify_down(self, name: str) -> None:
         for listener in self.on_down:
             listener(name)
 
@@ -277,20 +279,20 @@
             The end.
         """
         link = peer_link.PeerLink(self, is_dialler)
-        self._unproven.add(link)
-        self._reactor.callLater(HANDSHAKE_SECONDS, self._drop_unproven, link)
+        self._unauthenticated.add(link)
+        self._reactor.callLater(HANDSHAKE_SECONDS, self._close_unauthenticated, link)
         return link
 
-    def _drop_unproven(self, link: peer_link.PeerLink) -> None:
-        if link in self._unproven:
-            self._unproven.discard(link)
+    def _close_unauthenticated(self, link: peer_link.PeerLink) -> None:
+        if link in self._unauthenticated:
+            self._unauthenticated.discard(link)
             if link.transport is not None:
                 link.close("refused: no hello in time")
 
     def _dial_if_needed(self, name: str) -> None:
         if self._is_stopped or name in self._links or name in self._dialling:
             return
-        member = self._wanted.get(name)
+        member = self._peers.get(name)
         if member is None:
             return
         self._dialling.add(name)
@@ -317,18 +319,20 @@
         self._redial_later(name)
 
     def _redial_later(self, name: str) -> None:
-        if name not in self._wanted or self._is_stopped:
+        if name not in self._peers or self._is_stopped:
             return
-        delay = self._delays.get(name, REDIAL_START)
-        self._delays[name] = min(REDIAL_CAP, delay * 2)
+        delay = self._redial_delays.get(name, MIN_REDIAL_SECONDS)
+        self._redial_delays[name] = min(MAX_REDIAL_SECONDS, delay * 2)
         self._reactor.callLater(delay, self._dial_if_needed, name)
 
-    def _beat(self) -> None:
-        self._timer = self._reactor.callLater(self.heartbeat_seconds, self._beat)
+    def _send_heartbeats(self) -> None:
+        self._heartbeat_timer = self._reactor.callLater(
+            self.heartbeat_seconds, self._send_heartbeats
+        )
         data = codec.encode(self.make_heartbeat(), self.now)
         silent_at = self.now - max(SILENCE_SECONDS, 2 * self.heartbeat_seconds + 0.5)
         for link in list(self._links.values()):
-            if link.heard_at < silent_at:
+            if link.last_received_at < silent_at:
                 link.close("silent: no frame in time")
             else:
                 link.send_encoded(data)
--- a/src/lineworks/services/platform_client.py
+++ b/src/lineworks/services/platform_client.py
@@ -63,7 +63,7 @@
         """
         self._store = client
         self._lease: store_items.Lease | None = None
-        self._announced: member.Member | None = None
+        self._announced_entry: member.Member | None = None
 
     @property
     def calls(self) -> collections.Counter[str]:
@@ -114,15 +114,15 @@
             PlatformError: The platform cannot be reached or failed.
         """
         try:
-            found = await self._store.watch(key, after, WATCH_SECONDS)
+            entries = await self._store.watch(key, after, WATCH_SECONDS)
         except store.HistoryGoneError:
             return await self.get(key)
         except store.StoreError as error:
             raise PlatformError(str(error)) from error
-        own = [change for change in found.changes if change.key == key]
-        if not own:
+        relevant = [change for change in entries.changes if change.key == key]
+        if not relevant:
             return await self.get(key)
-        last = own[-1]
+        last = relevant[-1]
         return _ABSENT if last.value is None else Value(last.value.decode(), last.position)
 
     async def compare_and_swap(self, key: str, data: str, expect: positions.Position) -> bool:
@@ -172,13 +172,13 @@
             listing = await self._store.list_items(MEMBERS)
         except store.StoreError as error:
             raise PlatformError(str(error)) from error
-        found = []
+        entries = []
         for item in listing.items:
             try:
-                found.append(member.Member(**json.loads(item.value)))
+                entries.append(member.Member(**json.loads(item.value)))
             except (ValueError, TypeError) as error:
                 _log.warning("member_refused", key=item.key, error=str(error))
-        return found
+        return entries
 
     async def announce(self, entry: member.Member, lease_seconds: float) -> None:
         """Put this instance on the membership list for a while.
@@ -191,7 +191,7 @@
             PlatformError: It was not announced.
             PlatformUnsureError: It is not known whether it was.
         """
-        if self._lease is not None and self._announced == entry:
+        if self._lease is not None and self._announced_entry == entry:
             try:
                 await self._store.renew_lease(self._lease)
                 return
@@ -210,7 +210,7 @@
         except store.LeaseGoneError as error:
             self._lease = None
             raise PlatformError(str(error)) from error
-        self._announced = entry
+        self._announced_entry = entry
 
     async def _write(
         self, write: store_items.Write, expected: list[tuple[str, positions.Position]]
--- a/src/lineworks/services/target_connection.py
+++ b/src/lineworks/services/target_connection.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-_LINE_BREAKS = frozenset("\r\n\0")
+_FORBIDDEN_CHARACTERS = frozenset("\r\n\0")
 
 
 class UnsafeHeaderError(ValueError):
@@ -37,7 +37,7 @@
     """The body."""
 
 
-def write_request(
+def encode_request(
     method: str, path: str, host: str, headers: Mapping[str, str], body: bytes
 ) -> bytes:
     """Write a request.
@@ -57,7 +57,7 @@
     """
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", f"Content-Length: {len(body)}"]
     for name, value in headers.items():
-        if not _LINE_BREAKS.isdisjoint(value):
+        if not _FORBIDDEN_CHARACTERS.isdisjoint(value):
             raise UnsafeHeaderError(f"{name} holds a line break")
         lines.append(f"{name}: {value}")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -133,7 +133,7 @@
         """
         self.is_closed = True
         self._on_closed(self)
-        self._finish(None)
+        self._complete(None)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take in a header.
@@ -160,9 +160,9 @@
         if not parser.should_keep_alive():
             self.is_closed = True
             self.transport.loseConnection()
-        self._finish(response)
+        self._complete(response)
 
-    def _finish(self, response: Response | None) -> None:
+    def _complete(self, response: Response | None) -> None:
         on_response = self._on_response
         self._on_response = None
         if on_response is not None:
--- a/src/lineworks/services/target_pool.py
+++ b/src/lineworks/services/target_pool.py
@@ -41,16 +41,16 @@
     is_cancelled: bool = False
 
 
-class _TargetPool:
+class _ConnectionPool:
     """The connections to one target."""
 
     def __init__(self, reactor: Any, target: catalog.Target) -> None:
         self._reactor = reactor
         self._target = target
         self._idle: list[target_connection.TargetConnection] = []
-        self._open = 0
+        self._open_count = 0
 
-    def take(
+    def acquire(
         self,
         on_ready: Callable[[target_connection.TargetConnection], None],
         on_refused: Callable[[str], None],
@@ -69,13 +69,13 @@
             if not connection.is_closed:
                 on_ready(connection)
                 return True
-        if self._open >= ownership.connection_share(self._target.connections):
+        if self._open_count >= ownership.connection_share(self._target.connections):
             return False
-        self._open += 1
+        self._open_count += 1
         self._connect(on_ready, on_refused)
         return True
 
-    def give_back(self, connection: target_connection.TargetConnection) -> None:
+    def release(self, connection: target_connection.TargetConnection) -> None:
         """Keep a connection for the next request.
 
         Args:
@@ -104,13 +104,13 @@
         )
 
         def refused(failure: Any) -> None:
-            self._open -= 1
+            self._open_count -= 1
             on_refused(failure.getErrorMessage())
 
         endpoint.connect(factory).addCallbacks(on_ready, refused)
 
     def _on_closed(self, connection: target_connection.TargetConnection) -> None:
-        self._open -= 1
+        self._open_count -= 1
         if connection in self._idle:
             self._idle.remove(connection)
 
@@ -125,7 +125,7 @@
             reactor: Twisted's reactor.
         """
         self._reactor = reactor
-        self._pools: dict[str, _TargetPool] = {}
+        self._pools: dict[str, _ConnectionPool] = {}
 
     def start(self) -> None:
         """Do nothing; the first attempt connects."""
@@ -155,20 +155,22 @@
         remaining = max(0.0, attempt.deadline - self._reactor.seconds())
         headers = target_http.request_headers(attempt, remaining)
         try:
-            data = _write("POST", "/v1/sub-query", target, headers, attempt.body)
+            data = _encode("POST", "/v1/sub-query", target, headers, attempt.body)
         except target_connection.UnsafeHeaderError as error:
             return self._refuse_later(exchange, verdict.Reason.INVALID, str(error))
-        pool = self._pool(target)
-        is_taken = pool.take(
-            functools.partial(self._send_on, pool, exchange, data),
+        pool = self._pool_for(target)
+        is_acquired = pool.acquire(
+            functools.partial(self._send_attempt, pool, exchange, data),
             functools.partial(_refuse, exchange, verdict.Reason.UNREACHABLE),
         )
-        if not is_taken:
+        if not is_acquired:
             detail = "own share of connections is used up"
             return self._refuse_later(exchange, verdict.Reason.CAPPED, detail)
         return functools.partial(self._cancel, target, attempt, exchange)
 
-    def ask_report(self, target: catalog.Target) -> defer.Deferred[replicas.StatusReport | None]:
+    def request_report(
+        self, target: catalog.Target
+    ) -> defer.Deferred[replicas.StatusReport | None]:
         """Ask a target how it is.
 
         Args:
@@ -179,95 +181,99 @@
         """
         asked: defer.Deferred[replicas.StatusReport | None] = defer.Deferred()
 
-        def take(response: target_connection.Response | None) -> None:
+        def handle_response(response: target_connection.Response | None) -> None:
             if not asked.called:
                 asked.callback(_parse_report(response))
 
-        self._call(target, _write("GET", "/v1/report", target, {}, b""), take)
+        self._send_control_request(
+            target, _encode("GET", "/v1/report", target, {}, b""), handle_response
+        )
         return asked
 
-    def _call(
+    def _send_control_request(
         self,
         target: catalog.Target,
         data: bytes,
         on_response: Callable[[target_connection.Response | None], None],
     ) -> None:
         """Send a small request beside the attempts; a slow one costs its connection."""
-        pool = self._pool(target)
+        pool = self._pool_for(target)
 
         def send(connection: target_connection.TargetConnection) -> None:
             timer = self._reactor.callLater(REPORT_TIMEOUT, connection.close)
 
-            def take(response: target_connection.Response | None) -> None:
+            def handle_response(response: target_connection.Response | None) -> None:
                 if timer.active():
                     timer.cancel()
-                pool.give_back(connection)
+                pool.release(connection)
                 on_response(response)
 
-            connection.send(data, take)
+            connection.send(data, handle_response)
 
-        if not pool.take(send, lambda error: on_response(None)):
+        if not pool.acquire(send, lambda error: on_response(None)):
             on_response(None)
 
-    def _pool(self, target: catalog.Target) -> _TargetPool:
+    def _pool_for(self, target: catalog.Target) -> _ConnectionPool:
         pool = self._pools.get(target.name)
         if pool is None:
-            pool = self._pools[target.name] = _TargetPool(self._reactor, target)
+            pool = self._pools[target.name] = _ConnectionPool(self._reactor, target)
         return pool
 
-    def _send_on(
+    def _send_attempt(
         self,
-        pool: _TargetPool,
+        pool: _ConnectionPool,
         exchange: _Exchange,
         data: bytes,
         connection: target_connection.TargetConnection,
     ) -> None:
         if exchange.is_cancelled:
-            pool.give_back(connection)
+            pool.release(connection)
             return
         exchange.connection = connection
         connection.send(data, functools.partial(self._on_response, pool, exchange))
 
     def _on_response(
         self,
-        pool: _TargetPool,
+        pool: _ConnectionPool,
         exchange: _Exchange,
         response: target_connection.Response | None,
     ) -> None:
         connection = exchange.connection
         assert connection is not None
         exchange.connection = None
-        pool.give_back(connection)
+        pool.release(connection)
         if response is None:
             found = verdict.may_have_run(verdict.Reason.LINK_LOST, "the connection broke")
-            _report_once(exchange, ports.Outcome(found))
+            _deliver_outcome(exchange, ports.Outcome(found))
             return
         outcome = target_http.read_outcome(response.status, response.headers, response.body)
-        _report_once(exchange, outcome)
+        _deliver_outcome(exchange, outcome)
 
     def _refuse_later(
         self, exchange: _Exchange, reason: verdict.Reason, detail: str
     ) -> Callable[[], None]:
         self._reactor.callLater(0, _refuse, exchange, reason, detail)
-        return functools.partial(_forget, exchange)
+        return functools.partial(_discard_outcome, exchange)
 
     def _cancel(self, target: catalog.Target, attempt: ports.Attempt, exchange: _Exchange) -> None:
         """Tell the target to cancel; close the connection where that does not help."""
-        _forget(exchange)
+        _discard_outcome(exchange)
         exchange.is_cancelled = True
         connection = exchange.connection
         if connection is None:
             return
         headers = {target_http.REQUEST: attempt.id}
-        self._call(target, _write("POST", "/v1/cancel", target, headers, b""), _ignore)
+        self._send_control_request(
+            target, _encode("POST", "/v1/cancel", target, headers, b""), _ignore_response
+        )
         self._reactor.callLater(CANCEL_GRACE, _close_if_busy, exchange)
 
 
-def _write(
+def _encode(
     method: str, path: str, target: catalog.Target, headers: dict[str, str], body: bytes
 ) -> bytes:
     host = f"{target.host}:{target.port}"
-    return target_connection.write_request(method, path, host, headers, body)
+    return target_connection.encode_request(method, path, host, headers, body)
 
 
 def _parse_report(response: target_connection.Response | None) -> replicas.StatusReport | None:
@@ -280,21 +286,21 @@
 
 
 def _refuse(exchange: _Exchange, reason: verdict.Reason, detail: str) -> None:
-    _report_once(exchange, ports.Outcome(verdict.not_run(reason, detail)))
+    _deliver_outcome(exchange, ports.Outcome(verdict.not_run(reason, detail)))
 
 
-def _report_once(exchange: _Exchange, outcome: ports.Outcome) -> None:
+def _deliver_outcome(exchange: _Exchange, outcome: ports.Outcome) -> None:
     on_outcome = exchange.on_outcome
     exchange.on_outcome = None
     if on_outcome is not None:
         on_outcome(outcome)
 
 
-def _forget(exchange: _Exchange) -> None:
+def _discard_outcome(exchange: _Exchange) -> None:
     exchange.on_outcome = None
 
 
-def _ignore(response: target_connection.Response | None) -> None:
+def _ignore_response(response: target_connection.Response | None) -> None:
     del response
 
 
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -67,7 +67,7 @@
         self.hello = frames.Hello(other.name, other.hall, other.incarnation, b"")
 
     @property
-    def heard_at(self):
+    def last_received_at(self):
         end = self.fleet.silent_since.get((self.other.name, self.mine.name), math.inf)
         now = min(self.fleet.clock.seconds(), end)
         return now - now % HEARTBEAT_SECONDS
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -152,7 +152,7 @@
     assert second[0].is_not_run
     # Instances learn of the restore from each other's heartbeats.
     world.ports[0].era.learn(world.ports[1].era.value)
-    world.clock.run_until(2.0 + claim_writer.SETTLE_SECONDS)
+    world.clock.run_until(2.0 + claim_writer.RECOVERY_SECONDS)
     third = world.ask(1, claim(nonce="3", instance="b"))
     world.clock.run_until(8.0)
     assert third[0].nonce == "1"
@@ -175,7 +175,7 @@
     copy = world.platform.model.copy()
     key = "0" * 31 + "1"
     found = world.ask(0, claim(key=key, nonce="1"))
-    world.clock.callLater(claim_writer.GROUP_SECONDS + 0.003, restore_store, world, copy)
+    world.clock.callLater(claim_writer.BATCH_SECONDS + 0.003, restore_store, world, copy)
     world.clock.run_until(9.0)
     held = claims.decode_bucket(world.platform.values[claims.bucket_key(key)][0])
     assert found[0].is_not_run
@@ -196,7 +196,7 @@
     world.clock.run_until(2.0)
     assert second[0].is_not_run
     world.ports[0].era.learn(port.era.value)
-    world.clock.run_until(2.0 + claim_writer.SETTLE_SECONDS)
+    world.clock.run_until(2.0 + claim_writer.RECOVERY_SECONDS)
     third = world.ask(len(world.writers) - 1, claim(nonce="3", instance="b"))
     world.clock.run_until(8.0)
     assert third[0].nonce == "1"
--- a/tests/test_forwarding_changes.py
+++ b/tests/test_forwarding_changes.py
@@ -168,7 +168,7 @@
     world.run(0.5)
     world.add_node("akl-1", "akl")
     for peer in ("akl-2", "wlg-1"):
-        world.nodes[peer]._links.set_wanted(world.nodes[peer]._registration._members)
+        world.nodes[peer]._links.set_peers(world.nodes[peer]._registration._members)
     world.run(6.0)
     assert world.is_ready("akl-1")
     assert statuses(world, "/read/x")["akl-1"] == 200
--- a/tests/test_target_pool.py
+++ b/tests/test_target_pool.py
@@ -159,12 +159,12 @@
     assert world.outcomes[0].verdict.is_not_run
     assert world.reactor.tcpClients == []
     with pytest.raises(target_connection.UnsafeHeaderError):
-        target_connection.write_request("GET", "/", "h", {"A": "b\nc"}, b"")
+        target_connection.encode_request("GET", "/", "h", {"A": "b\nc"}, b"")
 
 
 def test_a_report_is_asked_for(world):
     found = []
-    world.pool.ask_report(world.target).addCallback(found.append)
+    world.pool.request_report(world.target).addCallback(found.append)
     _, transport = world.accept()
     body = b'{"incarnation": "i", "holds": ["7@base"], "busy": 1, "queue": 0, "state": "cold"}'
     feed(transport, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize("body", [b"{}", b"no", b'{"incarnation": 1, "holds": 5}'])
 def test_a_malformed_report_is_none(world, body):
     found = []
-    world.pool.ask_report(world.target).addCallback(found.append)
+    world.pool.request_report(world.target).addCallback(found.append)
     _, transport = world.accept()
     feed(transport, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     assert found == [None]
