--- a/src/lineworks/services/claim_writer.py
+++ b/src/lineworks/services/claim_writer.py
@@ -1,8 +1,8 @@
-"""Writes claims of idempotency keys to the platform, grouped by bucket.
+"""Writes claims of idempotency keys to the platform, batched by bucket.
 
-The store may come back from an older copy without claims that it had acknowledged. Each instance
-writes those that it made lately again; meanwhile keys are refused, since the claim of another
-instance may be missing.
+The store may be restored from an older copy and lose claims that it had acknowledged. Each instance
+then rewrites its recent claims. New claims are refused meanwhile, because a claim made by another
+instance may still be missing.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
     from collections.abc import Callable
 
 BATCH_SECONDS = 0.003
-"""Seconds for which claims of a bucket are gathered before they are written together."""
+"""Seconds for which claims of a bucket are collected before they are written in one batch."""
 
 MAX_ATTEMPTS = 6
-"""Tries to write a bucket before its claims are refused."""
+"""Maximum number of attempts to write a batch before its claims are refused."""
 
 RETRY_SECONDS = 0.02
-"""Seconds between tries at first, doubled each time, with jitter."""
+"""Initial delay between attempts in seconds; it doubles with each attempt and has jitter."""
 
 RECOVERY_SECONDS = 3.0
-"""Seconds after the store's return from an older copy, and after an instance's first contact with
-the store, in which keys are refused: all instances have heard of a return and written their claims
-again by then."""
+"""Seconds for which new claims are refused after the store is restored from an older copy, and
+after an instance's first contact with the store. By then, all instances have learned of the restore
+and rewritten their claims."""
 
 RECENT_CLAIM_SECONDS = 60.0
-"""Seconds for which own claims are remembered to be written again; the store's copies are some
+"""Seconds for which an instance keeps its own claims for a rewrite; copies of the store are a few
 seconds old."""
 
 DEADLINE_MARGIN = 0.02
-"""Seconds of a request's time that must be left after its claim."""
+"""Seconds that must remain before a request's deadline for its claim to be written."""
 
 _RECOVERY_DETAIL = "the store came back from an older copy, and claims are being written again"
 
@@ -48,7 +48,7 @@
 
 
 class _PendingClaim:
-    """A claim that waits to be written."""
+    """A claim that has not been written yet."""
 
     def __init__(self, claim: claims.Claim, deadline: float, is_rewrite: bool = False) -> None:
         self.claim = claim
@@ -58,7 +58,7 @@
 
 
 class ClaimWriter:
-    """Claims keys, a bucket at a time."""
+    """Claims idempotency keys, with one write at a time for each bucket."""
 
     def __init__(
         self,
@@ -67,13 +67,13 @@
         platform: platform_client.PlatformClient,
         wall_clock: Callable[[], float],
     ) -> None:
-        """Start without claims.
+        """Initialise without claims.
 
         Args:
             reactor: Twisted's reactor.
             rng: Source of jitter.
-            platform: The platform.
-            wall_clock: Tells seconds since the epoch.
+            platform: Client of the platform.
+            wall_clock: Returns the time in seconds since the epoch.
         """
         self._reactor = reactor
         self._rng = rng
@@ -81,31 +81,31 @@
         self._wall_clock = wall_clock
         self._queued: dict[str, list[_PendingClaim]] = {}
         self._active_buckets: set[str] = set()
-        # Own claims that hold, with the time at which they were made.
+        # Claims by this instance that are in effect, with the time at which each was written.
         self._recent_claims: collections.deque[tuple[float, claims.Claim]] = collections.deque()
         self._recovery_ends_at = 0.0
-        platform.era.listeners.append(self._on_store_reverted)
-        # An instance that starts can't know whether the store has just come back.
+        platform.era.listeners.append(self._on_store_restored)
+        # At start, an instance can't know whether the store has just been restored.
         platform.era.on_first.append(self._begin_recovery)
 
     def start(self) -> None:
-        """Do nothing."""
+        """Do nothing; claims are written on demand."""
 
     def stop(self) -> None:
-        """Do nothing."""
+        """Do nothing; claims are written on demand."""
 
     def claim(
         self, claim: claims.Claim, deadline: float
     ) -> defer.Deferred[claims.Claim | verdict.Verdict]:
-        """Claim a key.
+        """Claim an idempotency key.
 
         Args:
             claim: The claim.
-            deadline: When the caller stops waiting, in seconds on the reactor's clock.
+            deadline: Deadline of the request, in seconds on the reactor's clock.
 
         Returns:
-            A deferred with the claim that holds, which is another one when the key was taken; or
-            with a NOT_RUN verdict when the claim is not known to hold.
+            A deferred that fires with the claim in effect, which is a different one if the key was
+            already claimed, or with a NOT_RUN verdict if the claim is not known to be in effect.
         """
         pending = _PendingClaim(claim, deadline)
         if self._is_recovering:
@@ -125,8 +125,8 @@
             self._active_buckets.add(bucket)
             self._reactor.callLater(BATCH_SECONDS, self._start_writing, bucket)
 
-    def _on_store_reverted(self) -> None:
-        """Write the own claims again, and refuse keys until others have done so."""
+    def _on_store_restored(self) -> None:
+        """Rewrite recent claims, and refuse new ones until all instances have rewritten theirs."""
         self._begin_recovery()
         self._drop_old_claims(self._reactor.seconds())
         for _, claim in self._recent_claims:
@@ -151,7 +151,7 @@
         writing.addErrback(lambda failure: _log.error("claim_failed", error=str(failure.value)))
 
     async def _write_bucket(self, bucket: str) -> None:
-        """Write until no claim of the bucket waits."""
+        """Write batches until the bucket has no queued claims."""
         try:
             while self._queued.get(bucket):
                 batch = self._queued.pop(bucket)
@@ -173,7 +173,7 @@
                 self._refuse(batch, verdict.Reason.PLATFORM_DOWN, str(error))
                 return
             except platform_client.PlatformUnsureError as error:
-                # The next read of the bucket settles whether the claims were written.
+                # The next read of the bucket shows whether the claims were written.
                 reason = str(error)
             except claims.BucketFullError as error:
                 self._refuse(batch, verdict.Reason.OVERLOADED, str(error))
@@ -185,7 +185,7 @@
     async def _try_batch(self, bucket: str, batch: list[_PendingClaim]) -> bool:
         value = await self._platform.get(bucket)
         if self._is_recovering:
-            # Found out by this read, maybe: what it lacks proves nothing yet.
+            # This read may have revealed the restore: a claim that it lacks may still be rewritten.
             new = [pending for pending in batch if not pending.is_rewrite]
             self._refuse(new, verdict.Reason.PLATFORM_UNSURE, _RECOVERY_DETAIL)
             batch[:] = [pending for pending in batch if pending.is_rewrite]
@@ -219,9 +219,9 @@
             pending.done.callback(verdict.not_run(reason, text))
 
 
-def _check_rewrite(effective: claims.Claim | verdict.Verdict, claim: claims.Claim) -> None:
-    """Say that an own claim could not be written again: its key may be claimed once more."""
-    if isinstance(effective, verdict.Verdict):
-        _log.error("claim_not_written_again", key=claim.key, reason=effective.detail)
-    elif effective.nonce != claim.nonce:
-        _log.error("claim_lost", key=claim.key, to=effective.instance)
+def _check_rewrite(result: claims.Claim | verdict.Verdict, claim: claims.Claim) -> None:
+    """Log an error if a claim could not be rewritten: its key may be claimed a second time."""
+    if isinstance(result, verdict.Verdict):
+        _log.error("claim_not_written_again", key=claim.key, reason=result.detail)
+    elif result.nonce != claim.nonce:
+        _log.error("claim_lost", key=claim.key, to=result.instance)
--- a/src/lineworks/services/config_keeper.py
+++ b/src/lineworks/services/config_keeper.py
@@ -1,8 +1,9 @@
-"""Keeps the configuration in force at this instance and spreads it.
+"""Keeps the active configuration of this instance up to date and propagates it to peers.
 
-Two instances of each hall watch the platform's head; all others learn from peers, who compare
-version and digest in every heartbeat. An instance that hears of nothing asks the platform itself
-now and then. Only a higher version whose chain holds the own digest is taken.
+Two instances of each hall watch the platform's head. The others learn of new versions from their
+peers: every heartbeat carries the sender's version and digest. Instances that don't watch also poll
+the platform at long intervals. A new version is adopted only if it is higher and its chain contains
+the digest of the active version.
 """
 
 from __future__ import annotations
@@ -25,23 +26,24 @@
     from lineworks.services import peer_link, peer_links
 
 WATCHERS_PER_HALL = 2
-"""Instances of a hall that watch the head."""
+"""Number of instances in each hall that watch the head."""
 
 POLL_SECONDS = 30.0
-"""Seconds after which an instance that does not watch asks the platform itself."""
+"""Seconds between polls of the platform by an instance that is not a watcher."""
 
 MIN_RETRY_SECONDS = 0.2
-"""Seconds before a failed read is tried again; doubled up to `MAX_RETRY_SECONDS`, with jitter."""
+"""Initial delay in seconds before a failed read is retried. It doubles up to `MAX_RETRY_SECONDS`
+and has jitter."""
 
 MAX_RETRY_SECONDS = 5.0
-"""Seconds between tries at most."""
+"""Maximum delay in seconds between retries."""
 
 _WATCH_SUBJECT = "config-head"
 _log = structlog.get_logger(component="config_keeper")
 
 
 class ConfigKeeper:
-    """The configuration in force."""
+    """Holds the active configuration and follows its new versions."""
 
     def __init__(
         self,
@@ -52,15 +54,15 @@
         links: peer_links.PeerLinks,
         hall_members: Callable[[], list[str]],
     ) -> None:
-        """Start with the empty configuration.
+        """Initialise with the empty configuration.
 
         Args:
             reactor: Twisted's reactor.
             rng: Source of jitter.
             name: Name of this instance.
-            store: The configuration in the platform.
+            store: The configuration as stored in the platform.
             links: Links to peers.
-            hall_members: Tells the live instances of this instance's hall.
+            hall_members: Returns the live instances of this instance's hall.
         """
         self._reactor = reactor
         self._rng = rng
@@ -73,33 +75,35 @@
         self._confirmed_at = reactor.seconds()
         self._task = task.Task("config_keeper", self._follow_platform)
         self.alarms: dict[str, int] = {}
+        """Number of alarms raised, by kind."""
         self.listeners: list[Callable[[catalog.Catalog, dict[str, float]], None]] = []
+        """Called with the new catalog and the class weights when a version becomes active."""
         links.handle(frames.ConfigPull, self._on_pull)
         links.handle(frames.ConfigChanges, self._on_changes)
 
     @property
     def version(self) -> int:
-        """Version in force; 0 before the first."""
+        """The active version; 0 before the first change."""
         return self._head.version
 
     @property
     def digest(self) -> str:
-        """Digest of the version in force."""
+        """Digest of the active version."""
         return self._head.digest
 
     @property
     def head(self) -> changes.Head:
-        """The head in force."""
+        """Head of the active version."""
         return self._head
 
     @property
     def items(self) -> dict[str, str]:
-        """All items in force as JSON, by key."""
+        """All items of the active version as JSON, by key."""
         return dict(self._items)
 
     @property
     def age(self) -> float:
-        """Seconds since this version was last known to be the newest."""
+        """Seconds since the active version was last confirmed to be the newest."""
         age: float = self._reactor.seconds() - self._confirmed_at
         return age
 
@@ -110,20 +114,20 @@
         return self._name in ownership.owners(_WATCH_SUBJECT, members, WATCHERS_PER_HALL)
 
     def start(self) -> None:
-        """Begin to follow the platform's head."""
+        """Start following the platform's head."""
         self._task.start()
 
     def stop(self) -> None:
-        """Stop following."""
+        """Stop following the platform's head."""
         self._task.stop()
 
     def on_heartbeat(self, peer: str, version: int, digest: str) -> None:
-        """Compare a peer's version with the own one, and ask for what is lacking.
+        """Compare a peer's version with the active one, and request missing changes from the peer.
 
         Args:
-            peer: The peer.
-            version: Version in force there.
-            digest: Its digest.
+            peer: Name of the peer.
+            version: The peer's active version.
+            digest: Digest of that version.
         """
         if version > self.version:
             self._links.send(peer, frames.ConfigPull(self.version, self.digest))
@@ -133,7 +137,12 @@
             self._raise_alarm("forked", f"{peer} has another version {version}")
 
     async def refresh(self) -> None:
-        """Read the platform's head now and follow it."""
+        """Read the platform's head immediately and adopt it if it is newer.
+
+        Raises:
+            platform_client.PlatformError: The platform cannot be reached or lacks an item.
+            configuration.ConfigurationError: The stored configuration is damaged.
+        """
         head, _ = await self._store.read_head()
         await self._adopt_from_platform(head)
 
@@ -147,7 +156,7 @@
                 else:
                     head, seen = await self._store.read_head()
                 await self._adopt_from_platform(head)
-                # Only now, so that a head whose items could not be read is asked for again.
+                # Set only after adoption, so that a head whose items could not be read is retried.
                 position = seen
                 delay = MIN_RETRY_SECONDS
                 if not self.is_watcher:
@@ -177,7 +186,8 @@
         link.send(frames.ConfigChanges(self._encode_transfer(frame.version, frame.digest)))
 
     def _encode_transfer(self, version: int, digest: str) -> bytes:
-        """Write what a peer at a version lacks: changed items, or all where it is too far back."""
+        """Encode the items that a peer at a version lacks, or all items if the changes since that
+        version are no longer known."""
         step = changes.follow(version, digest, self._head)
         if isinstance(step, changes.ApplyChanges):
             puts, _ = _combine(step.changes)
@@ -215,9 +225,13 @@
             self._raise_alarm("damaged", str(error))
 
     def _activate(self, head: changes.Head, items: dict[str, str]) -> None:
-        """Check a configuration against its manifest and put it in force.
+        """Check a configuration against its manifest and make it the active one.
+
+        The version is compared again, because a newer one may have been activated while this one
+        was being read.
 
-        The version is compared again, since another one may have come while this was read.
+        Raises:
+            configuration.ConfigurationError: The items do not match the manifest or are invalid.
         """
         if head.version <= self.version:
             return
@@ -243,7 +257,7 @@
 
 
 def _combine(steps: tuple[changes.Change, ...]) -> tuple[dict[str, str], set[str]]:
-    """Sum up changes: content digests of the keys put, and the keys deleted."""
+    """Combine successive changes into content digests of the keys written, and the keys deleted."""
     puts: dict[str, str] = {}
     deleted: set[str] = set()
     for change in steps:
--- a/src/lineworks/services/config_store.py
+++ b/src/lineworks/services/config_store.py
@@ -1,7 +1,7 @@
 """Reads and writes the configuration in the platform.
 
-Layout: `config/head` holds the newest head; `config/item/DIGEST` and `config/manifest/DIGEST`
-hold content under its SHA-256, so they never change once written.
+Layout: `config/head` holds the newest head. `config/item/DIGEST` and `config/manifest/DIGEST` are
+addressed by the SHA-256 of their content, so they never change once written.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
     from collections.abc import Mapping
 
 HEAD_KEY = "config/head"
-"""Key of the head."""
+"""Key of the newest head."""
 
 MAX_VALUE_BYTES = 1_000_000
-"""Bytes that a value of the platform may have."""
+"""Maximum size of a value in the platform, in bytes."""
 
 _MAX_ATTEMPTS = 20
 _MIN_RETRY_SECONDS = 0.01
@@ -32,61 +32,61 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """A change is in the chain."""
+    """A change is part of the chain."""
 
     change: changes.Change
-    """The change."""
+    """The accepted change."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """A change is not in the chain and will never be."""
+    """A change is not part of the chain and never will be."""
 
     reason: str
-    """`conflict`, `base`, `invalid`, `busy` or `platform`."""
+    """`conflict`, `base`, `invalid`, `busy`, `platform` or `unknown`."""
 
     detail: str
-    """One sentence for people."""
+    """Explanation in one sentence, not meant to be parsed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unsure:
-    """It is not known whether a change is in the chain."""
+    """It is unknown whether a change is part of the chain."""
 
     change_id: str
-    """Its identity, by which it can be settled later."""
+    """Unique identifier of the change; `ConfigStore.settle` looks up its outcome later."""
 
     detail: str
-    """One sentence for people."""
+    """Explanation in one sentence, not meant to be parsed."""
 
 
 Outcome = Accepted | Refused | Unsure
-"""How an attempt to change the configuration ended."""
+"""Result of an attempt to change the configuration."""
 
 
 def head_to_json(head: changes.Head) -> str:
-    """Write a head.
+    """Encode a head.
 
     Args:
         head: The head.
 
     Returns:
-        JSON.
+        The head as JSON.
     """
     return json.dumps(dataclasses.asdict(head), separators=(",", ":"))
 
 
 def head_from_json(text: str) -> changes.Head:
-    """Read a head.
+    """Decode a head.
 
     Args:
-        text: JSON.
+        text: The head as JSON.
 
     Returns:
         The head.
 
     Raises:
-        configuration.ConfigurationError: The text is not a head.
+        configuration.ConfigurationError: The text is not a valid head.
     """
     try:
         document = json.loads(text)
@@ -100,16 +100,16 @@
 
 
 class ConfigStore:
-    """The configuration as kept in the platform."""
+    """Client of the configuration stored in the platform."""
 
     def __init__(
         self, clock: Any, platform: platform_client.PlatformClient, rng: random.Random
     ) -> None:
-        """Make a store; nothing is read yet.
+        """Initialise without reading anything.
 
         Args:
             clock: Twisted's reactor.
-            platform: The platform.
+            platform: Client of the platform.
             rng: Source of jitter.
         """
         self._clock = clock
@@ -121,7 +121,7 @@
         """Read the newest head.
 
         Returns:
-            The head and its position.
+            The head, which is `changes.EMPTY_HEAD` before the first change, and its position.
 
         Raises:
             platform_client.PlatformError: The platform cannot be reached.
@@ -132,13 +132,13 @@
     async def watch_head(
         self, after: positions.Position
     ) -> tuple[changes.Head, positions.Position]:
-        """Wait for a head with a later position, or for the watch to end.
+        """Wait until the head has a later position or the watch times out.
 
         Args:
-            after: The position known.
+            after: The last known position.
 
         Returns:
-            The head and its position.
+            The head, which is `changes.EMPTY_HEAD` before the first change, and its position.
 
         Raises:
             platform_client.PlatformError: The platform cannot be reached.
@@ -147,7 +147,7 @@
         return _parse_head(await self._platform.watch(HEAD_KEY, after))
 
     async def read_items(self, wanted: Mapping[str, str]) -> dict[str, str]:
-        """Read items by their content digests and check them.
+        """Read items by their content digests and verify the content.
 
         Args:
             wanted: Content digests by key.
@@ -157,7 +157,7 @@
 
         Raises:
             platform_client.PlatformError: The platform cannot be reached or lacks an item.
-            configuration.ConfigurationError: An item does not have its digest.
+            configuration.ConfigurationError: The content of an item does not match its digest.
         """
         return {key: await self._read_content("item", digest) for key, digest in wanted.items()}
 
@@ -165,33 +165,34 @@
         """Read a manifest.
 
         Args:
-            digest: Its digest; empty for the empty configuration.
+            digest: Digest of the manifest; empty for the empty configuration.
 
         Returns:
             Content digests by key.
 
         Raises:
-            platform_client.PlatformError: The platform cannot be reached or lacks it.
-            configuration.ConfigurationError: It does not have its digest.
+            platform_client.PlatformError: The platform cannot be reached or lacks the manifest.
+            configuration.ConfigurationError: The manifest does not match its digest.
         """
         if not digest:
             return {}
-        found: dict[str, str] = json.loads(await self._read_content("manifest", digest))
-        return found
+        manifest: dict[str, str] = json.loads(await self._read_content("manifest", digest))
+        return manifest
 
     async def apply(
         self, items: Mapping[str, str | None], base: int, change_id: str, author: str
     ) -> Outcome:
-        """Make a change.
+        """Make a change to the configuration.
 
         Args:
-            items: Contents by key; None deletes the key.
-            base: Version that the change was made against.
-            change_id: Identity of the change.
-            author: Who makes it.
+            items: New contents by key; None deletes the key.
+            base: Version that the change is based on.
+            change_id: Unique identifier of the change.
+            author: Author of the change.
 
         Returns:
-            `Accepted` only when the change is known to be in the chain.
+            `Accepted` if the change is known to be part of the chain, `Refused` if it is known not
+            to be, `Unsure` otherwise.
         """
         is_uncertain = False
         for attempt in range(_MAX_ATTEMPTS):
@@ -216,33 +217,33 @@
         return Refused("busy", f"other changes came first {_MAX_ATTEMPTS} times")
 
     async def settle(self, change_id: str) -> Outcome:
-        """Find out what became of a change.
+        """Look up the outcome of a change.
 
         Args:
-            change_id: Its identity.
+            change_id: Unique identifier of the change.
 
         Returns:
-            `Accepted` when it is in the kept chain, else `Refused`; `Unsure` when the platform
-            cannot be read.
+            `Accepted` if the change is among the recent changes that the head includes, otherwise
+            `Refused`; `Unsure` if the head cannot be read.
         """
         try:
             head, _ = await self.read_head()
         except (platform_client.PlatformError, configuration.ConfigurationError) as error:
             return Unsure(change_id, str(error))
-        found = _find_change(head, change_id)
-        if found is not None:
-            return Accepted(found)
+        change = _find_change(head, change_id)
+        if change is not None:
+            return Accepted(change)
         kept = len(head.changes)
         return Refused("unknown", f"it is not among the last {kept} changes")
 
     async def _try_apply(
         self, items: Mapping[str, str | None], base: int, change_id: str, author: str
     ) -> Outcome | None:
-        """Try once; None means that another change came first or that nothing is known yet."""
+        """Attempt the change once; return None if another change was written first."""
         head, position = await self.read_head()
-        found = _find_change(head, change_id)
-        if found is not None:
-            return Accepted(found)
+        change = _find_change(head, change_id)
+        if change is not None:
+            return Accepted(change)
         rejection = changes.conflict(head, base, frozenset(items))
         if isinstance(rejection, changes.Conflict):
             return Refused("conflict", _conflict_detail(rejection))
@@ -272,7 +273,12 @@
         return None
 
     async def _validate(self, manifest: Mapping[str, str], items: Mapping[str, str | None]) -> None:
-        """Build the whole configuration as it would be, so that a bad one is never accepted."""
+        """Build the complete resulting configuration, so that an invalid one is never accepted.
+
+        Raises:
+            platform_client.PlatformError: The platform cannot be reached or lacks an item.
+            configuration.ConfigurationError: The configuration would be invalid.
+        """
         known = {key: content for key, content in items.items() if content is not None}
         others = {key: digest for key, digest in manifest.items() if key not in known}
         configuration.build({**await self.read_items(others), **known}, 1, "")
@@ -296,7 +302,7 @@
         try:
             await self._platform.put(key, content)
         except platform_client.PlatformUnsureError as error:
-            # Content under its own digest may be written any number of times.
+            # A content-addressed write is idempotent, so it may be repeated like one that failed.
             raise platform_client.PlatformError(str(error)) from error
         self._written.add(key)
 
--- a/src/lineworks/services/membership.py
+++ b/src/lineworks/services/membership.py
@@ -1,8 +1,8 @@
-"""Which instances are live: the platform's list, corrected by own evidence.
+"""Which instances are live: the platform's list, corrected by the state of this instance's links.
 
-The list lags. A peer with a link in use is live whatever the list says; a peer that is listed but
-cannot be reached counts as live only for `GRACE` seconds; a peer that said it is leaving gets no
-new work at once.
+The list is delayed. A peer with an established link is live whatever the list says. A listed peer
+that cannot be reached counts as live only for `members.GRACE` seconds. A peer that announces that
+it is leaving is given no new work from then on.
 """
 
 from __future__ import annotations
@@ -24,19 +24,20 @@
     from lineworks.services import peer_links
 
 ANNOUNCE_SECONDS = 15.0
-"""Seconds between announcements to the platform."""
+"""Seconds between announcements of this instance to the platform."""
 
 LEASE_SECONDS = 50.0
-"""Seconds for which the platform lists this instance after an announcement."""
+"""Seconds for which an announcement keeps this instance on the platform's list."""
 
 LIST_SECONDS = 3.0
-"""Seconds between reads of the list by two instances of each hall."""
+"""Seconds between reads of the list by the readers of a hall."""
 
 SLOW_LIST_SECONDS = 30.0
-"""Seconds between reads of the list by all others; a new instance dials them itself."""
+"""Seconds between reads of the list by all other instances. They need not learn of a new instance
+early, because it connects to them itself."""
 
 READERS_PER_HALL = 2
-"""Instances of a hall that read the list often."""
+"""Number of instances in each hall that read the list every `LIST_SECONDS`."""
 
 _READER_SUBJECT = "membership-list"
 
@@ -44,7 +45,7 @@
 
 
 class Membership:
-    """The live instances as this one sees them."""
+    """Tracks which instances are live, and announces this one."""
 
     def __init__(
         self,
@@ -55,15 +56,15 @@
         links: peer_links.PeerLinks,
         seeds: list[member.Member],
     ) -> None:
-        """Start alone.
+        """Initialise without peers.
 
         Args:
             reactor: Twisted's reactor.
             rng: Source of jitter.
-            me: This instance's own entry.
-            platform: The platform.
+            me: The entry of this instance.
+            platform: Client of the platform.
             links: Links to peers.
-            seeds: Peers known from the settings.
+            seeds: Peers named in the settings.
         """
         self._reactor = reactor
         self._rng = rng
@@ -76,34 +77,36 @@
         self._task = task.Task("membership", self._run)
         self._published: dict[str, str] = {}
         self.is_leaving = False
+        """Whether this instance has announced that it accepts no new work."""
         self.listeners: list[Callable[[dict[str, str]], None]] = []
+        """Called with the live instances and their halls when these change."""
         links.on_up.append(self._on_up)
         links.on_down.append(self._on_down)
 
     @property
     def live(self) -> dict[str, str]:
-        """Live instances that take work, each with its hall."""
+        """Live instances that accept work, as data halls by instance name."""
         return self._state.live(self._reactor.seconds())
 
     def hall_members(self) -> list[str]:
-        """List the live instances of the own hall, this one among them.
+        """Return the live instances of this instance's data hall, including itself.
 
         Returns:
-            Names.
+            Names of the instances.
         """
         return [name for name, hall in self.live.items() if hall == self._me.hall]
 
     def start(self) -> None:
-        """Begin to announce this instance and to read the list."""
+        """Start announcing this instance and reading the list."""
         self._links.set_peers({seed.name: seed for seed in self._seeds})
         self._task.start()
 
     def stop(self) -> None:
-        """Stop announcing."""
+        """Stop announcing this instance and reading the list."""
         self._task.stop()
 
     async def announce_leaving(self) -> None:
-        """Tell all peers, and then the platform, that this instance takes no new work."""
+        """Announce that this instance accepts no new work: to all peers, then to the platform."""
         self.is_leaving = True
         self._links.broadcast(self._links.make_heartbeat())
         self._notify_listeners()
@@ -113,18 +116,21 @@
             _log.warning("announce_failed", error=str(error))
 
     def on_heartbeat(self, peer: str, is_leaving: bool) -> None:
-        """Take in what a peer says of itself.
+        """Process the state that a peer reports in its heartbeat.
 
         Args:
-            peer: The peer.
-            is_leaving: Whether it takes no new work.
+            peer: Name of the peer.
+            is_leaving: Whether the peer is leaving and accepts no new work.
         """
         if is_leaving:
             self._state.on_leaving(peer)
         self._notify_listeners()
 
     async def _run(self) -> None:
-        """Announce and read the list, each when it is due; a failed call is due again soon."""
+        """Announce this instance and read the list, each at its interval.
+
+        A failed call is repeated in the next iteration, after about `LIST_SECONDS`.
+        """
         announce_at = list_at = 0.0
         while True:
             now = self._reactor.seconds()
--- a/src/lineworks/services/peer_link.py
+++ b/src/lineworks/services/peer_link.py
@@ -1,4 +1,4 @@
-"""One end of a link between two instances: framed, compressed, and proven by a shared secret."""
+"""One end of a link between two instances: framed, compressed, authenticated by a shared secret."""
 
 from __future__ import annotations
 
@@ -22,66 +22,67 @@
 
 
 def sign(secret: bytes, nonce: bytes, name: str, hall: str, incarnation: str) -> bytes:
-    """Sign a `Hello`.
+    """Compute the signature of a `Hello`.
 
     Args:
         secret: The shared secret.
-        nonce: The other side's challenge.
-        name: Name of the signer.
+        nonce: Nonce of the other end's challenge.
+        name: Name of the signing instance.
         hall: Its data hall.
         incarnation: Identity of its process.
 
     Returns:
-        HMAC-SHA256.
+        The HMAC-SHA256 of the nonce and the identity.
     """
     text = "\0".join((name, hall, incarnation)).encode()
     return hmac.new(secret, nonce + text, hashlib.sha256).digest()
 
 
 class LinkOwner(Protocol):
-    """What a link needs of the instance that it belongs to."""
+    """What a link requires of its owner."""
 
     compresses: bool
-    """Whether frames that are sent are compressed."""
+    """Whether sent frames are compressed."""
 
     counts: collections.Counter[str]
-    """Links closed, by reason."""
+    """Number of links closed, by reason."""
 
     @property
     def now(self) -> float:
-        """The present, in seconds."""
+        """The current time, in seconds."""
 
     def make_hello(self, nonce: bytes) -> frames.Hello:
-        """Answer a challenge."""
+        """Create the signed hello that answers a challenge."""
 
     def is_authentic(self, hello: frames.Hello, nonce: bytes) -> bool:
-        """Check a hello against the challenge that was sent."""
+        """Verify a hello against the challenge that was sent."""
 
     def on_authenticated(self, link: PeerLink) -> None:
-        """Take a proven link into use."""
+        """Register an authenticated link."""
 
     def on_frame(self, link: PeerLink, frame: frames.Frame) -> None:
-        """Take a frame in."""
+        """Process a frame that arrived on an authenticated link."""
 
     def on_closed(self, link: PeerLink) -> None:
-        """Note that a link is gone."""
+        """Process the end of a link's connection."""
 
 
 class PeerLink(basic.Int32StringReceiver):
-    """One end of a link."""
+    """One end of a link; a Twisted protocol of frames with a length prefix."""
 
     MAX_LENGTH = codec.MAX_FRAME_BYTES
     transport: Any
 
     def __init__(self, owner: LinkOwner, is_dialler: bool = False) -> None:
-        """Make an end that is not connected yet.
+        """Initialise without a connection.
 
         Args:
-            owner: The instance's links.
+            owner: Owner of the link.
             is_dialler: Whether this end opened the connection.
         """
         self._owner = owner
         self.is_dialler = is_dialler
+        """Whether this end opened the connection."""
         self._nonce = os.urandom(_NONCE_BYTES)
         self._deflater = deflate.Deflater(
             deflate.COMPRESSION_LEVEL if owner.compresses else deflate.NO_COMPRESSION
@@ -91,10 +92,12 @@
         self._last_heartbeat_data = b""
         self._last_heartbeat: frames.Frame | None = None
         self.hello: frames.Hello | None = None
+        """Verified hello of the other end; None until the link is authenticated."""
         self.last_received_at = 0.0
+        """Time of connection or of the last received frame, in seconds."""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Challenge the other side."""
+        """Send the challenge."""
         self.transport.setTcpNoDelay(True)
         self.last_received_at = self._owner.now
         self.send(frames.Challenge(self._nonce))
@@ -103,27 +106,28 @@
         """Send a frame.
 
         Args:
-            frame: The frame.
+            frame: The frame to send.
         """
         self.send_encoded(codec.encode(frame, self._owner.now))
 
     def send_encoded(self, data: bytes) -> None:
-        """Send a frame that is encoded already.
+        """Send a frame that is already encoded.
 
         Args:
-            data: What `codec.encode` made of it, just now.
+            data: Result of `codec.encode`, which must have been called just now.
         """
         compressed = self._deflater.deflate(data)
-        # At once: what a gatherer does should not wait for the calls that follow its query.
+        # Written immediately, so that a gatherer need not wait until the current reactor iteration,
+        # which may have many more calls to make, has ended.
         immediate_write.write(
             self.transport, struct.pack(self.structFormat, len(compressed)) + compressed
         )
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Take in one frame.
+        """Process one received frame.
 
         Args:
-            string: Its bytes.
+            string: The compressed frame, without its length prefix.
         """
         if self._is_closed:
             return
@@ -139,7 +143,7 @@
             self._owner.on_frame(self, frame)
 
     def _decode(self, data: bytes) -> frames.Frame:
-        """Read a frame; most are heartbeats that say the same as the last one."""
+        """Decode a frame; a heartbeat identical to the previous one, as most are, is reused."""
         if self._last_heartbeat is not None and data == self._last_heartbeat_data:
             return self._last_heartbeat
         frame = codec.decode(data, self.last_received_at)
@@ -148,18 +152,18 @@
         return frame
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        """Close the link, because a frame is too long.
+        """Close the link because a frame exceeds `MAX_LENGTH`.
 
         Args:
-            length: The length announced.
+            length: Length in bytes given in the frame's prefix.
         """
         self.close(f"frame of {length} bytes")
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Tell the links that this one is gone.
+        """Notify the owner that the connection is closed.
 
         Args:
-            reason: Why, by Twisted.
+            reason: Reason reported by Twisted.
         """
         self._is_closed = True
         self._owner.on_closed(self)
@@ -168,7 +172,7 @@
         """Close the link.
 
         Args:
-            reason: Why; it is logged.
+            reason: Reason for the log; the part before the first colon is counted in `counts`.
         """
         if self._is_closed:
             return
--- a/src/lineworks/services/peer_links.py
+++ b/src/lineworks/services/peer_links.py
@@ -1,8 +1,8 @@
 """Links between instances: one TCP connection for each pair, framed and authenticated.
 
-Each side sends a `Challenge` and answers the other's with a `Hello` that is signed over it. All
-other frames are only taken after that. A frame that cannot be read closes its link and touches
-nothing else.
+Each end sends a `Challenge` and answers the other's with a `Hello` whose signature covers it. All
+other frames are accepted only after that. A malformed frame closes its link and has no other
+effect.
 """
 
 from __future__ import annotations
@@ -26,28 +26,30 @@
 """Seconds between heartbeats on a link."""
 
 SILENCE_SECONDS = 4.0
-"""Seconds without a frame after which a link counts as lost."""
+"""Seconds without a received frame after which a link is closed as lost."""
 
 HANDSHAKE_SECONDS = 3.0
-"""Seconds that a new link has to say who it is."""
+"""Timeout in seconds for connecting, and for the authentication of a new link."""
 
 MIN_REDIAL_SECONDS = 0.1
-"""Seconds before a lost link is dialled again."""
+"""Initial delay in seconds before a lost link is dialled again; it doubles up to
+`MAX_REDIAL_SECONDS`."""
 
 MAX_REDIAL_SECONDS = 2.0
-"""Seconds between dials at most."""
+"""Maximum delay in seconds before a peer is dialled again."""
 
 HIGHER_NAME_DIAL_DELAY = 0.2
-"""Seconds that the higher of two names leaves the dialling to the lower one: many round trips."""
+"""Seconds for which the instance with the higher name waits for the other one to dial; this covers
+many round trips."""
 
 _log = structlog.get_logger(component="peer_links")
 
 
 class PeerLinks:
-    """Keeps a link to every member and hands frames to the services that take them."""
+    """Maintains a link to every peer and dispatches received frames to their handlers."""
 
     def __init__(self, reactor: Any, name: str, hall: str, incarnation: str, secret: bytes) -> None:
-        """Make links without any peer.
+        """Initialise without peers.
 
         Args:
             reactor: Twisted's reactor.
@@ -71,40 +73,46 @@
         self._heartbeat_timer: Any = None
         self._is_stopped = False
         self.heartbeat_seconds = HEARTBEAT_SECONDS
+        """Interval between heartbeats, in seconds."""
         self.compresses = True
-        """Whether frames that are sent are compressed."""
+        """Whether sent frames are compressed."""
         self.on_link_closed: list[Callable[[str], None]] = []
+        """Called with the incarnation of the peer when an authenticated link is closed."""
         self.counts: collections.Counter[str] = collections.Counter()
+        """Number of links closed, by reason."""
         self.make_heartbeat: Callable[[], frames.Heartbeat] = lambda: frames.Heartbeat(False, 0, "")
+        """Creates the heartbeat that describes the current state of this instance."""
         self.on_up: list[Callable[[frames.Hello], None]] = []
+        """Called with the hello of the peer when a link is established."""
         self.on_down: list[Callable[[str], None]] = []
+        """Called with the name of the peer when its link is lost or replaced."""
 
     @property
     def now(self) -> float:
-        """The present, in seconds."""
+        """The current time, in seconds."""
         seconds: float = self._reactor.seconds()
         return seconds
 
     @property
     def up(self) -> Mapping[str, peer_link.PeerLink]:
-        """Proven links by the name of the peer."""
+        """Authenticated links by the name of the peer."""
         return self._links
 
     def handle(self, frame_type: type, handler: Callable[[peer_link.PeerLink, Any], None]) -> None:
-        """Say who takes a kind of frame.
+        """Register the handler for a type of frame, replacing any earlier one.
 
         Args:
-            kind: Class of the frame.
+            frame_type: Class of the frames.
             handler: Called with the link and the frame.
         """
         self._handlers[frame_type] = handler
 
     def listen(self, host: str, port: int) -> Any:
-        """Accept links.
+        """Listen for connections from peers.
 
         Args:
-            host: IP address.
-            port: TCP port; 0 lets the system choose.
+            host: IP address to bind.
+            port: TCP port; 0 lets the operating system choose.
 
         Returns:
             The listening port.
@@ -118,13 +126,17 @@
         return self._port
 
     def start(self) -> None:
-        """Begin the heartbeats."""
+        """Start sending heartbeats."""
         self._heartbeat_timer = self._reactor.callLater(
             self.heartbeat_seconds, self._send_heartbeats
         )
 
     def stop(self) -> Any:
-        """Close every link and stop listening."""
+        """Close all links and stop listening.
+
+        Returns:
+            Result of the listening port's `stopListening`; None if it never listened.
+        """
         self._is_stopped = True
         if self._heartbeat_timer is not None and self._heartbeat_timer.active():
             self._heartbeat_timer.cancel()
@@ -133,14 +145,15 @@
         return self._port.stopListening() if self._port is not None else None
 
     def set_peers(self, members: Mapping[str, member.Member]) -> None:
-        """Say which peers there are; those without a link are dialled.
+        """Replace the set of peers, and dial those without a link.
 
         Args:
-            members: Members by name.
+            members: Members by name; this instance may be among them.
         """
         self._peers = {name: member for name, member in members.items() if name != self._name}
         for name in self._peers:
-            # Of two that learn of each other at once the lower name dials; the other one waits.
+            # If two instances learn of each other at the same time, the one with the lower name
+            # dials and the other waits.
             if self._name < name:
                 self._dial_if_needed(name)
             else:
@@ -150,11 +163,11 @@
         """Send a frame to a peer.
 
         Args:
-            name: The peer.
-            frame: The frame.
+            name: Name of the peer.
+            frame: The frame to send.
 
         Returns:
-            False when there is no link, and so nothing was sent.
+            False if there is no link to the peer, so that nothing was sent.
         """
         link = self._links.get(name)
         if link is None:
@@ -163,20 +176,20 @@
         return True
 
     def broadcast(self, frame: frames.Frame) -> None:
-        """Send a frame to every peer.
+        """Send a frame on every authenticated link.
 
         Args:
-            frame: The frame.
+            frame: The frame to send; it is encoded only once.
         """
         data = codec.encode(frame, self.now)
         for link in self._links.values():
             link.send_encoded(data)
 
     def make_hello(self, nonce: bytes) -> frames.Hello:
-        """Answer a challenge.
+        """Create the signed hello that answers a challenge.
 
         Args:
-            nonce: The challenge.
+            nonce: Nonce of the other end's challenge.
 
         Returns:
             The signed hello.
@@ -185,25 +198,26 @@
         return frames.Hello(self._name, self._hall, self._incarnation, mac)
 
     def is_authentic(self, hello: frames.Hello, nonce: bytes) -> bool:
-        """Check a hello against the challenge that was sent.
+        """Verify a hello against the challenge that was sent.
 
         Args:
-            hello: The hello.
-            nonce: The challenge.
+            hello: The received hello.
+            nonce: Nonce of the challenge that was sent.
 
         Returns:
-            Whether the other side knows the secret and is not this instance.
+            Whether the signature is valid and the sender is not this instance itself.
         """
         expected = peer_link.sign(self._secret, nonce, hello.name, hello.hall, hello.incarnation)
         return hmac.compare_digest(expected, hello.mac) and hello.name != self._name
 
     def on_authenticated(self, link: peer_link.PeerLink) -> None:
-        """Take a proven link into use, in place of an older one to the same peer.
+        """Register an authenticated link, replacing an existing one to the same peer.
 
-        Where both sides dialled at once, both keep the connection that the lower name opened.
+        If both instances dialled at the same time, both keep the connection opened by the one with
+        the lower name.
 
         Args:
-            link: The link.
+            link: The authenticated link.
         """
         hello = link.hello
         assert hello is not None
@@ -224,7 +238,7 @@
             listener(hello)
 
     def _is_duplicate(self, link: peer_link.PeerLink, existing: peer_link.PeerLink) -> bool:
-        """Say whether a second link to the same process is the one to drop."""
+        """Return whether a second link to the same process must be closed, not the existing one."""
         assert link.hello is not None
         assert existing.hello is not None
         if link.hello.incarnation != existing.hello.incarnation:
@@ -235,11 +249,11 @@
         return link.is_dialler != keeps_own_connection
 
     def on_frame(self, link: peer_link.PeerLink, frame: frames.Frame) -> None:
-        """Hand a frame to the service that takes its kind.
+        """Dispatch a frame to the handler for its type; without one, close the link.
 
         Args:
-            link: Where it came from.
-            frame: The frame.
+            link: The link on which it arrived.
+            frame: The received frame.
         """
         handler = self._handlers.get(type(frame))
         if handler is None:
@@ -248,10 +262,10 @@
         handler(link, frame)
 
     def on_closed(self, link: peer_link.PeerLink) -> None:
-        """Note that a link is gone.
+        """Process the end of a link's connection, and schedule a redial if the peer has no link.
 
         Args:
-            link: The link.
+            link: The closed link.
         """
         self._unauthenticated.discard(link)
         name = link.hello.name if link.hello else ""
@@ -270,13 +284,13 @@
             listener(name)
 
     def make_link(self, is_dialler: bool = False) -> peer_link.PeerLink:
-        """Make the end of a new connection; it is dropped unless it proves itself in time.
+        """Create the protocol of a new connection; it is closed unless it authenticates in time.
 
         Args:
-            is_dialler: Whether this side opened the connection.
+            is_dialler: Whether this end opened the connection.
 
         Returns:
-            The end.
+            The unauthenticated link.
         """
         link = peer_link.PeerLink(self, is_dialler)
         self._unauthenticated.add(link)
@@ -300,20 +314,20 @@
         self._reactor.connectTCP(member.host, member.port, factory, timeout=HANDSHAKE_SECONDS)
 
     def on_dialled(self, name: str) -> None:
-        """Note that a dialled connection is open; the proof comes later.
+        """Process a successful dial; the link is not authenticated yet.
 
         Args:
-            name: The peer.
+            name: Name of the peer.
         """
         self._dialling.discard(name)
-        # A link that never proves itself is dialled again.
+        # A peer whose link does not authenticate is dialled again.
         self._reactor.callLater(HANDSHAKE_SECONDS + 1, self._dial_if_needed, name)
 
     def on_dial_failed(self, name: str) -> None:
-        """Note that a peer could not be dialled.
+        """Process a failed dial and schedule the next one.
 
         Args:
-            name: The peer.
+            name: Name of the peer.
         """
         self._dialling.discard(name)
         self._redial_later(name)
@@ -330,16 +344,16 @@
             self.heartbeat_seconds, self._send_heartbeats
         )
         data = codec.encode(self.make_heartbeat(), self.now)
-        silent_at = self.now - max(SILENCE_SECONDS, 2 * self.heartbeat_seconds + 0.5)
+        cutoff = self.now - max(SILENCE_SECONDS, 2 * self.heartbeat_seconds + 0.5)
         for link in list(self._links.values()):
-            if link.last_received_at < silent_at:
+            if link.last_received_at < cutoff:
                 link.close("silent: no frame in time")
             else:
                 link.send_encoded(data)
 
 
 class _DialFactory(protocol.ClientFactory):
-    """Opens a link to one peer."""
+    """Creates the protocol of a connection dialled to one peer."""
 
     noisy = False
 
@@ -348,10 +362,10 @@
         self._name = name
 
     def buildProtocol(self, addr: Any) -> peer_link.PeerLink:  # noqa: N802
-        """Make the dialler's end."""
+        """Create the dialling end of the link."""
         self._links.on_dialled(self._name)
         return self._links.make_link(is_dialler=True)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
-        """Report that the peer could not be reached."""
+        """Report that the dial failed."""
         self._links.on_dial_failed(self._name)
--- a/src/lineworks/services/platform_client.py
+++ b/src/lineworks/services/platform_client.py
@@ -1,7 +1,7 @@
-"""What the product's own configuration, claims and membership keep in the platform's store.
+"""Client through which configuration, claims and membership use the platform's store.
 
-A value is text under a key. A write whose answer is lost is reported as unsure, never as failed.
-The calls themselves are those of `lineworks.platform.store`.
+Values are text, stored by key. A write whose reply is lost is reported as unsure, never as failed.
+`lineworks.platform.store` makes the calls.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
     from lineworks.platform import store_era
 
 WATCH_SECONDS = 20.0
-"""Seconds that one watch waits at the platform at most."""
+"""Maximum duration of one watch, in seconds."""
 
 MEMBERS = "members/"
-"""Prefix of the keys of instances; what follows is the instance's name."""
+"""Prefix of the keys of instances; it is followed by the instance's name."""
 
 _log = structlog.get_logger(component="platform_client")
 
 
 class PlatformError(Exception):
-    """The platform did not do what it was asked; it is certain that nothing was written."""
+    """A call to the platform failed; it is certain that nothing was written."""
 
 
 class PlatformUnsureError(Exception):
-    """A write was sent and no reply came, so it may have taken effect."""
+    """A write was sent but no reply arrived, so it may have taken effect."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,23 +43,23 @@
     """A value with its position in the store's history."""
 
     data: str | None
-    """The value, or None where the key is absent."""
+    """The value; None if the key is absent."""
 
     position: positions.Position
-    """Position of its last change; `positions.ABSENT` where the key is absent."""
+    """Position of its last change; `positions.ABSENT` if the key is absent."""
 
 
 _ABSENT = Value(None, positions.ABSENT)
 
 
 class PlatformClient:
-    """Values and the list of members, kept in the store."""
+    """Reads and writes values and the membership list in the store."""
 
     def __init__(self, client: store.Store) -> None:
-        """Make a client; nothing is sent yet.
+        """Initialise without sending anything.
 
         Args:
-            client: The store.
+            client: Client of the store.
         """
         self._store = client
         self._lease: store_items.Lease | None = None
@@ -67,19 +67,19 @@
 
     @property
     def calls(self) -> collections.Counter[str]:
-        """Calls to the store so far, by kind."""
+        """Number of calls made to the store, by kind."""
         return self._store.calls
 
     @property
     def era(self) -> store_era.StoreEra:
-        """Which era the store is in."""
+        """The newest known era of the store."""
         return self._store.era
 
     def start(self) -> None:
-        """Do nothing; the first call connects."""
+        """Do nothing; the first call opens a connection."""
 
     def stop(self) -> None:
-        """Close the idle connections."""
+        """Close the idle connections to the store."""
         self._store.stop()
 
     async def get(self, key: str) -> Value:
@@ -89,10 +89,10 @@
             key: The key.
 
         Returns:
-            Its value.
+            The value and its position.
 
         Raises:
-            PlatformError: The platform cannot be reached or failed.
+            PlatformError: The platform cannot be reached or returned an error.
         """
         try:
             item = await self._store.get(key)
@@ -101,17 +101,17 @@
         return _ABSENT if item is None else Value(item.value.decode(), item.position)
 
     async def watch(self, key: str, after: positions.Position) -> Value:
-        """Wait until a key has a position after a given one, or for `WATCH_SECONDS`.
+        """Wait until a key changes after a position, for at most `WATCH_SECONDS`.
 
         Args:
             key: The key.
-            after: The position known.
+            after: The last known position.
 
         Returns:
-            The value then.
+            The current value and its position.
 
         Raises:
-            PlatformError: The platform cannot be reached or failed.
+            PlatformError: The platform cannot be reached or returned an error.
         """
         try:
             entries = await self._store.watch(key, after, WATCH_SECONDS)
@@ -126,19 +126,19 @@
         return _ABSENT if last.value is None else Value(last.value.decode(), last.position)
 
     async def compare_and_swap(self, key: str, data: str, expect: positions.Position) -> bool:
-        """Write a key if its position is still the one expected.
+        """Write a key if its position is still the expected one.
 
         Args:
             key: The key.
             data: The new value.
-            expect: Position expected; `positions.ABSENT` for an absent key.
+            expect: Expected position; `positions.ABSENT` if the key must be absent.
 
         Returns:
-            Whether it was written.
+            Whether the value was written.
 
         Raises:
             PlatformError: Nothing was written.
-            PlatformUnsureError: It is not known whether it was written.
+            PlatformUnsureError: It is unknown whether the value was written.
         """
         try:
             await self._write(store_items.Write(key, data.encode()), [(key, expect)])
@@ -147,7 +147,7 @@
         return True
 
     async def put(self, key: str, data: str) -> None:
-        """Write a key whatever it holds.
+        """Write a key unconditionally.
 
         Args:
             key: The key.
@@ -155,7 +155,7 @@
 
         Raises:
             PlatformError: Nothing was written.
-            PlatformUnsureError: It is not known whether it was written.
+            PlatformUnsureError: It is unknown whether the value was written.
         """
         await self._write(store_items.Write(key, data.encode()), [])
 
@@ -163,10 +163,10 @@
         """Read the membership list.
 
         Returns:
-            All entries that can be read.
+            All valid entries; malformed ones are logged and skipped.
 
         Raises:
-            PlatformError: The platform cannot be reached or failed.
+            PlatformError: The platform cannot be reached or returned an error.
         """
         try:
             listing = await self._store.list_items(MEMBERS)
@@ -181,15 +181,15 @@
         return entries
 
     async def announce(self, entry: member.Member, lease_seconds: float) -> None:
-        """Put this instance on the membership list for a while.
+        """Put this instance on the membership list, or extend its lease there.
 
         Args:
-            entry: The entry.
-            lease_seconds: Seconds after which the entry goes unless announced again.
+            entry: The entry of this instance.
+            lease_seconds: Seconds after which the entry is removed unless announced again.
 
         Raises:
-            PlatformError: It was not announced.
-            PlatformUnsureError: It is not known whether it was.
+            PlatformError: The entry was not announced.
+            PlatformUnsureError: It is unknown whether the entry was announced.
         """
         if self._lease is not None and self._announced_entry == entry:
             try:
--- a/src/lineworks/services/target_connection.py
+++ b/src/lineworks/services/target_connection.py
@@ -1,7 +1,7 @@
 """One HTTP/1.1 connection to a target, used for one request at a time.
 
-Twisted's own HTTP client costs about 0.8 ms of processor time for each sub-query; this one hands
-Twisted's TCP connection to the parser of the library httptools instead. The measurement is in
+Twisted's own HTTP client takes about 0.8 ms of processor time for each sub-query. This client
+therefore combines Twisted's TCP connection with the response parser of httptools; see
 docs/design/target-connections.md.
 """
 
@@ -20,40 +20,40 @@
 
 
 class UnsafeHeaderError(ValueError):
-    """A header's value would break out of its line."""
+    """A header value contains a line break or NUL and could inject further headers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A whole response."""
+    """A complete response."""
 
     status: int
-    """HTTP status."""
+    """HTTP status code."""
 
     headers: Mapping[str, str]
     """Headers by name in title case."""
 
     body: bytes
-    """The body."""
+    """Body of the response."""
 
 
 def encode_request(
     method: str, path: str, host: str, headers: Mapping[str, str], body: bytes
 ) -> bytes:
-    """Write a request.
+    """Encode a request.
 
     Args:
         method: HTTP method.
-        path: Path.
-        host: Value of the host header.
-        headers: Further headers.
-        body: The body.
+        path: Path of the request.
+        host: Value of the Host header.
+        headers: Additional headers.
+        body: Body of the request.
 
     Returns:
         The bytes to send.
 
     Raises:
-        UnsafeHeaderError: A value holds a line break.
+        UnsafeHeaderError: A value contains a line break or NUL.
     """
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", f"Content-Length: {len(body)}"]
     for name, value in headers.items():
@@ -64,18 +64,18 @@
 
 
 class TargetConnection(protocol.Protocol):
-    """The client's end of a connection.
+    """The client end of a connection.
 
-    It also receives the parser's callbacks, whose names httptools sets.
+    It also implements the parser's callbacks, whose names are defined by httptools.
     """
 
     transport: Any
 
     def __init__(self, on_closed: Callable[[TargetConnection], None]) -> None:
-        """Make an end that is not connected yet.
+        """Initialise without a connection.
 
         Args:
-            on_closed: Called once when the connection is closed.
+            on_closed: Called once with this object when the connection is closed.
         """
         self._on_closed = on_closed
         self._on_response: Callable[[Response | None], None] | None = None
@@ -86,20 +86,20 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether a request may be sent."""
+        """Whether the connection is open and has no request in progress."""
         return self._on_response is None and not self.is_closed
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send small requests at once."""
+        """Disable Nagle's algorithm, so that small requests are sent without delay."""
         self.transport.setTcpNoDelay(True)
 
     def send(self, data: bytes, on_response: Callable[[Response | None], None]) -> None:
         """Send a request.
 
         Args:
-            data: Its bytes.
-            on_response: Called once, with None when the connection broke before the whole
-                response had come.
+            data: The encoded request.
+            on_response: Called once with the response, or with None if the connection closed before
+                the response was complete.
         """
         self._on_response = on_response
         self._parser = httptools.HttpResponseParser(self)
@@ -108,14 +108,14 @@
         self.transport.write(data)
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately, discarding unsent data."""
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Feed the parser.
+        """Pass received bytes to the parser; unexpected or invalid ones close the connection.
 
         Args:
-            data: Bytes of a response.
+            data: The received bytes.
         """
         if self._parser is None:
             self.close()
@@ -126,34 +126,34 @@
             self.close()
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Report that the connection is gone.
+        """Report that the connection is closed.
 
         Args:
-            reason: Why, by Twisted.
+            reason: Reason reported by Twisted.
         """
         self.is_closed = True
         self._on_closed(self)
         self._complete(None)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in a header.
+        """Store a header of the response.
 
         Args:
-            name: Its name.
-            value: Its value.
+            name: Name of the header.
+            value: Value of the header.
         """
         self._headers[name.decode("latin-1").title()] = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
-        """Take in a part of the body.
+        """Append a part of the body.
 
         Args:
-            data: The part.
+            data: The part received.
         """
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Hand over the whole response."""
+        """Deliver the complete response, and close the connection unless it is kept alive."""
         parser = self._parser
         self._parser = None
         response = Response(parser.get_status_code(), self._headers, b"".join(self._body))
--- a/src/lineworks/services/target_pool.py
+++ b/src/lineworks/services/target_pool.py
@@ -1,6 +1,6 @@
-"""Connections to targets: sends attempts over HTTP and never holds more than its share.
+"""Sends attempts to targets over HTTP, with a limit on this instance's connections to each target.
 
-The protocol is described in docs/reference/targets.md.
+docs/reference/targets.md describes the protocol.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
     from lineworks.decisions import catalog
 
 CANCEL_GRACE = 0.25
-"""Seconds that a target has to end a cancelled request before its connection is closed."""
+"""Seconds that a target has to respond to a cancelled request before its connection is closed."""
 
 REPORT_TIMEOUT = 1.0
-"""Seconds to wait for a target's report."""
+"""Timeout in seconds for a target's status report or for its reply to a cancellation."""
 
 CONNECT_TIMEOUT = 1.0
-"""Seconds to wait for a connection."""
+"""Timeout in seconds for opening a connection."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Exchange:
-    """An attempt and its connection."""
+    """An attempt in progress and its connection."""
 
     on_outcome: Callable[[ports.Outcome], None] | None
     connection: target_connection.TargetConnection | None = None
@@ -42,7 +42,7 @@
 
 
 class _ConnectionPool:
-    """The connections to one target."""
+    """Connections of this instance to one target."""
 
     def __init__(self, reactor: Any, target: catalog.Target) -> None:
         self._reactor = reactor
@@ -55,14 +55,14 @@
         on_ready: Callable[[target_connection.TargetConnection], None],
         on_refused: Callable[[str], None],
     ) -> bool:
-        """Get a connection, idle or new.
+        """Acquire an idle connection or open a new one.
 
         Args:
-            on_ready: Called with the connection, at once when one is idle.
-            on_refused: Called with the error when a new one could not be opened.
+            on_ready: Called with the connection, synchronously if one is idle.
+            on_refused: Called with the error message if a new connection could not be opened.
 
         Returns:
-            False when the share of connections is used up; then neither is called.
+            False if the limit on connections is reached; then neither function is called.
         """
         while self._idle:
             connection = self._idle.pop()
@@ -76,16 +76,16 @@
         return True
 
     def release(self, connection: target_connection.TargetConnection) -> None:
-        """Keep a connection for the next request.
+        """Return a connection to the pool for reuse.
 
         Args:
-            connection: The connection.
+            connection: The connection; it is ignored if it is closed or still in use.
         """
         if connection.is_idle:
             self._idle.append(connection)
 
     def close(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         for connection in self._idle:
             connection.transport.loseConnection()
         self._idle.clear()
@@ -116,10 +116,10 @@
 
 
 class TargetPool:
-    """Implements the engine's target port."""
+    """Implements `lineworks.engine.ports.TargetPort` over HTTP."""
 
     def __init__(self, reactor: Any) -> None:
-        """Make a pool without connections.
+        """Initialise without connections.
 
         Args:
             reactor: Twisted's reactor.
@@ -128,10 +128,10 @@
         self._pools: dict[str, _ConnectionPool] = {}
 
     def start(self) -> None:
-        """Do nothing; the first attempt connects."""
+        """Do nothing; connections are opened on demand."""
 
     def stop(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         for pool in self._pools.values():
             pool.close()
 
@@ -144,9 +144,10 @@
         """Start an attempt; see `lineworks.engine.ports.TargetPort`.
 
         Args:
-            target: Where to.
-            attempt: What to send.
-            on_outcome: Called once with the outcome, never from inside this call.
+            target: The target.
+            attempt: The attempt to send.
+            on_outcome: Called exactly once with the outcome, unless the attempt is cancelled first;
+                never called synchronously.
 
         Returns:
             A function that cancels the attempt.
@@ -171,13 +172,14 @@
     def request_report(
         self, target: catalog.Target
     ) -> defer.Deferred[replicas.StatusReport | None]:
-        """Ask a target how it is.
+        """Request a target's status report.
 
         Args:
             target: The target.
 
         Returns:
-            A deferred with its report, or None when there was no connection to spare or no reply.
+            A deferred that fires with the report, or with None if no connection was available, or
+            the reply was invalid or did not arrive in time.
         """
         asked: defer.Deferred[replicas.StatusReport | None] = defer.Deferred()
 
@@ -196,7 +198,7 @@
         data: bytes,
         on_response: Callable[[target_connection.Response | None], None],
     ) -> None:
-        """Send a small request beside the attempts; a slow one costs its connection."""
+        """Send a small request that is not an attempt; on timeout its connection is closed."""
         pool = self._pool_for(target)
 
         def send(connection: target_connection.TargetConnection) -> None:
@@ -243,8 +245,8 @@
         exchange.connection = None
         pool.release(connection)
         if response is None:
-            found = verdict.may_have_run(verdict.Reason.LINK_LOST, "the connection broke")
-            _deliver_outcome(exchange, ports.Outcome(found))
+            lost = verdict.may_have_run(verdict.Reason.LINK_LOST, "the connection broke")
+            _deliver_outcome(exchange, ports.Outcome(lost))
             return
         outcome = target_http.read_outcome(response.status, response.headers, response.body)
         _deliver_outcome(exchange, outcome)
@@ -256,7 +258,7 @@
         return functools.partial(_discard_outcome, exchange)
 
     def _cancel(self, target: catalog.Target, attempt: ports.Attempt, exchange: _Exchange) -> None:
-        """Tell the target to cancel; close the connection where that does not help."""
+        """Ask the target to cancel, and close the connection if that has no effect in time."""
         _discard_outcome(exchange)
         exchange.is_cancelled = True
         connection = exchange.connection
