--- a/src/lineworks/services/peer_link.py
+++ b/src/lineworks/services/peer_link.py
@@ -114,7 +114,7 @@
         """Send a frame that is already encoded.
 
         Args:
-            data: Result of `codec.encode`, which must have been called just now.
+            data: Result of `codec.encode`, called just now, because frames carry remaining times.
         """
         compressed = self._deflater.deflate(data)
         # Written immediately, so that a gatherer need not wait until the current reactor iteration,
--- a/tests/test_target_pool.py
+++ b/tests/test_target_pool.py
@@ -1,4 +1,4 @@
-"""Connections to targets over an in-memory reactor."""
+"""Attempts sent through the target pool, over an in-memory reactor."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         return self.pool.send(self.target, attempt, self.outcomes.append)
 
     def accept(self, number=-1):
-        """Let the target accept a connection."""
+        """Accept a connection as the target."""
         factory = self.reactor.tcpClients[number][2]
         protocol = factory.buildProtocol(None)
         transport = _Transport()
@@ -65,7 +65,7 @@
     transport.protocol._wrappedProtocol.dataReceived(data)
 
 
-def test_a_reply_in_pieces(world):
+def test_a_reply_received_in_pieces_is_assembled(world):
     world.send()
     _, transport = world.accept()
     written = transport.value()
@@ -80,7 +80,7 @@
     assert (outcome.report.busy, outcome.report.queue) == (1, 2)
 
 
-def test_connections_are_used_again(world):
+def test_connections_are_reused(world):
     world.send()
     _, transport = world.accept()
     feed(transport, REPLY)
@@ -102,19 +102,19 @@
     _, transport = world.accept()
     feed(transport, REPLY[:30])
     transport.abortConnection()
-    found = world.outcomes[0].verdict
-    assert found.certainty is verdict.Certainty.MAY_HAVE_RUN
-    assert found.reason is verdict.Reason.LINK_LOST
+    outcome = world.outcomes[0].verdict
+    assert outcome.certainty is verdict.Certainty.MAY_HAVE_RUN
+    assert outcome.reason is verdict.Reason.LINK_LOST
 
 
-def test_what_is_not_http_leaves_the_outcome_unknown(world):
+def test_an_invalid_http_response_leaves_the_outcome_unknown(world):
     world.send()
     _, transport = world.accept()
     feed(transport, b"\x00\x01 nonsense\r\n\r\n")
     assert world.outcomes[0].verdict.certainty is verdict.Certainty.MAY_HAVE_RUN
 
 
-def test_no_more_connections_than_the_share():
+def test_attempts_beyond_the_connection_share_are_refused():
     world = _World(connections=25)
     share = ownership.connection_share(25)
     for _ in range(share + 3):
@@ -125,7 +125,7 @@
     assert all(o.verdict.is_not_run for o in world.outcomes)
 
 
-def test_a_cancelled_attempt_is_told_to_the_target_and_to_nobody_else(world):
+def test_a_cancellation_is_sent_to_the_target_and_no_outcome_is_reported(world):
     cancel = world.send()
     _, transport = world.accept()
     cancel()
@@ -162,20 +162,20 @@
         target_connection.encode_request("GET", "/", "h", {"A": "b\nc"}, b"")
 
 
-def test_a_report_is_asked_for(world):
-    found = []
-    world.pool.request_report(world.target).addCallback(found.append)
+def test_a_status_report_is_requested_and_parsed(world):
+    results = []
+    world.pool.request_report(world.target).addCallback(results.append)
     _, transport = world.accept()
     body = b'{"incarnation": "i", "holds": ["7@base"], "busy": 1, "queue": 0, "state": "cold"}'
     feed(transport, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    assert found[0].is_cold
-    assert found[0].holds == {SNAPSHOT}
+    assert results[0].is_cold
+    assert results[0].holds == {SNAPSHOT}
 
 
 @pytest.mark.parametrize("body", [b"{}", b"no", b'{"incarnation": 1, "holds": 5}'])
 def test_a_malformed_report_is_none(world, body):
-    found = []
-    world.pool.request_report(world.target).addCallback(found.append)
+    results = []
+    world.pool.request_report(world.target).addCallback(results.append)
     _, transport = world.accept()
     feed(transport, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    assert found == [None]
+    assert results == [None]
