--- a/src/lineworks/forwarding/registration.py
+++ b/src/lineworks/forwarding/registration.py
@@ -173,7 +173,7 @@
                 # Links to connected instances are kept even if their keys are gone.
                 is_changed |= self._members.pop(name, None) is not None
         if is_changed:
-            self._links.set_wanted(self._members)
+            self._links.set_peers(self._members)
             self.on_listed()
 
     async def _renew_periodically(self, lease: store_items.Lease) -> None:
--- a/src/lineworks/services/cluster.py
+++ b/src/lineworks/services/cluster.py
@@ -259,7 +259,7 @@
         due.sort(key=self._last_report_or_request)
         for replica in new_replicas or due[:MAX_REPORTS_PER_POLL]:
             self._report_requested_at[replica.target.name] = now
-            pending_report = self._pool.ask_report(replica.target)
+            pending_report = self._pool.request_report(replica.target)
             pending_report.addCallback(self._on_report, replica.target.name)
 
     def _last_report_or_request(self, replica: replicas.Replica) -> float:
--- a/src/lineworks/services/membership.py
+++ b/src/lineworks/services/membership.py
@@ -1,8 +1,8 @@
-"""Which instances are live: the platform's list, corrected by own evidence.
+"""Which instances are live: the platform's list, corrected by the state of this instance's links.
 
-The list lags. A peer with a link in use is live whatever the list says; a peer that is listed but
-cannot be reached counts as live only for `GRACE` seconds; a peer that said it is leaving gets no
-new work at once.
+The list is delayed. A peer with an established link is live whatever the list says. A listed peer
+that cannot be reached counts as live only for `members.GRACE` seconds. A peer that announces that
+it is leaving is given no new work from then on.
 """
 
 from __future__ import annotations
@@ -24,27 +24,28 @@
     from lineworks.services import peer_links
 
 ANNOUNCE_SECONDS = 15.0
-"""Seconds between announcements to the platform."""
+"""Seconds between announcements of this instance to the platform."""
 
 LEASE_SECONDS = 50.0
-"""Seconds for which the platform lists this instance after an announcement."""
+"""Seconds for which an announcement keeps this instance on the platform's list."""
 
 LIST_SECONDS = 3.0
-"""Seconds between reads of the list by two instances of each hall."""
+"""Seconds between reads of the list by the readers of a hall."""
 
-REST_SECONDS = 30.0
-"""Seconds between reads of the list by all others; a new instance dials them itself."""
+SLOW_LIST_SECONDS = 30.0
+"""Seconds between reads of the list by all other instances. They need not learn of a new instance
+early, because it connects to them itself."""
 
-READERS = 2
-"""Instances of a hall that read the list often."""
+READERS_PER_HALL = 2
+"""Number of instances in each hall that read the list every `LIST_SECONDS`."""
 
-_READ_SUBJECT = "membership-list"
+_READER_SUBJECT = "membership-list"
 
 _log = structlog.get_logger(component="membership")
 
 
 class Membership:
-    """The live instances as this one sees them."""
+    """Tracks which instances are live, and announces this one."""
 
     def __init__(
         self,
@@ -55,15 +56,15 @@
         links: peer_links.PeerLinks,
         seeds: list[member.Member],
     ) -> None:
-        """Start alone.
+        """Initialise without peers.
 
         Args:
             reactor: Twisted's reactor.
             rng: Source of jitter.
-            me: This instance's own entry.
-            platform: The platform.
+            me: The entry of this instance.
+            platform: Client of the platform.
             links: Links to peers.
-            seeds: Peers known from the settings.
+            seeds: Peers named in the settings.
         """
         self._reactor = reactor
         self._rng = rng
@@ -76,55 +77,60 @@
         self._task = task.Task("membership", self._run)
         self._published: dict[str, str] = {}
         self.is_leaving = False
+        """Whether this instance has announced that it accepts no new work."""
         self.listeners: list[Callable[[dict[str, str]], None]] = []
+        """Called with the live instances and their halls when these change."""
         links.on_up.append(self._on_up)
         links.on_down.append(self._on_down)
 
     @property
     def live(self) -> dict[str, str]:
-        """Live instances that take work, each with its hall."""
+        """Live instances that accept work, as data halls by instance name."""
         return self._state.live(self._reactor.seconds())
 
     def hall_members(self) -> list[str]:
-        """List the live instances of the own hall, this one among them.
+        """Return the live instances of this instance's data hall, including itself.
 
         Returns:
-            Names.
+            Names of the instances.
         """
         return [name for name, hall in self.live.items() if hall == self._me.hall]
 
     def start(self) -> None:
-        """Begin to announce this instance and to read the list."""
-        self._links.set_wanted({seed.name: seed for seed in self._seeds})
+        """Start announcing this instance and reading the list."""
+        self._links.set_peers({seed.name: seed for seed in self._seeds})
         self._task.start()
 
     def stop(self) -> None:
-        """Stop announcing."""
+        """Stop announcing this instance and reading the list."""
         self._task.stop()
 
     async def announce_leaving(self) -> None:
-        """Tell all peers, and then the platform, that this instance takes no new work."""
+        """Announce that this instance accepts no new work: to all peers, then to the platform."""
         self.is_leaving = True
         self._links.broadcast(self._links.make_heartbeat())
-        self._publish()
+        self._notify_listeners()
         try:
             await self._announce()
         except (platform_client.PlatformError, platform_client.PlatformUnsureError) as error:
             _log.warning("announce_failed", error=str(error))
 
     def on_heartbeat(self, peer: str, is_leaving: bool) -> None:
-        """Take in what a peer says of itself.
+        """Process the state that a peer reports in its heartbeat.
 
         Args:
-            peer: The peer.
-            is_leaving: Whether it takes no new work.
+            peer: Name of the peer.
+            is_leaving: Whether the peer is leaving and accepts no new work.
         """
         if is_leaving:
             self._state.on_leaving(peer)
-        self._publish()
+        self._notify_listeners()
 
     async def _run(self) -> None:
-        """Announce and read the list, each when it is due; a failed call is due again soon."""
+        """Announce this instance and read the list, each at its interval.
+
+        A failed call is repeated in the next iteration, after about `LIST_SECONDS`.
+        """
         announce_at = list_at = 0.0
         while True:
             now = self._reactor.seconds()
@@ -133,17 +139,17 @@
                     await self._announce()
                     announce_at = now + ANNOUNCE_SECONDS
                 if now >= list_at:
-                    self._take_list(await self._platform.members())
-                    list_at = now + (LIST_SECONDS if self._is_reader else REST_SECONDS)
+                    self._process_list(await self._platform.members())
+                    list_at = now + (LIST_SECONDS if self._is_reader else SLOW_LIST_SECONDS)
             except (platform_client.PlatformError, platform_client.PlatformUnsureError) as error:
                 _log.warning("membership_failed", error=str(error))
-            self._publish()
+            self._notify_listeners()
             pause = LIST_SECONDS * (0.75 + self._rng.random() / 2)
             await task.sleep(self._reactor, pause)
 
     @property
     def _is_reader(self) -> bool:
-        readers = ownership.owners(_READ_SUBJECT, self.hall_members(), READERS)
+        readers = ownership.owners(_READER_SUBJECT, self.hall_members(), READERS_PER_HALL)
         return self._me.name in readers
 
     async def _announce(self) -> None:
@@ -151,7 +157,7 @@
         entry = member.Member(me.name, me.hall, me.host, me.port, me.incarnation, self.is_leaving)
         await self._platform.announce(entry, LEASE_SECONDS)
 
-    def _take_list(self, listed: list[member.Member]) -> None:
+    def _process_list(self, listed: list[member.Member]) -> None:
         now = self._reactor.seconds()
         self._listed = {member.name: member for member in listed if member.name != self._me.name}
         self._state.on_list(
@@ -166,17 +172,17 @@
         wanted = {seed.name: seed for seed in self._seeds}
         wanted.update(self._listed)
         wanted.pop(self._me.name, None)
-        self._links.set_wanted(wanted)
+        self._links.set_peers(wanted)
 
     def _on_up(self, hello: frames.Hello) -> None:
         self._state.on_up(hello.name, hello.hall, hello.incarnation)
-        self._publish()
+        self._notify_listeners()
 
     def _on_down(self, name: str) -> None:
         self._state.on_down(name, self._reactor.seconds())
-        self._publish()
+        self._notify_listeners()
 
-    def _publish(self) -> None:
+    def _notify_listeners(self) -> None:
         live = self.live
         if live == self._published:
             return
--- a/src/lineworks/services/peer_link.py
+++ b/src/lineworks/services/peer_link.py
@@ -1,4 +1,4 @@
-"""One end of a link between two instances: framed, compressed, and proven by a shared secret."""
+"""One end of a link between two instances: framed, compressed, authenticated by a shared secret."""
 
 from __future__ import annotations
 
@@ -22,110 +22,116 @@
 
 
 def sign(secret: bytes, nonce: bytes, name: str, hall: str, incarnation: str) -> bytes:
-    """Sign a `Hello`.
+    """Compute the signature of a `Hello`.
 
     Args:
         secret: The shared secret.
-        nonce: The other side's challenge.
-        name: Name of the signer.
+        nonce: Nonce of the other end's challenge.
+        name: Name of the signing instance.
         hall: Its data hall.
         incarnation: Identity of its process.
 
     Returns:
-        HMAC-SHA256.
+        The HMAC-SHA256 of the nonce and the identity.
     """
     text = "\0".join((name, hall, incarnation)).encode()
     return hmac.new(secret, nonce + text, hashlib.sha256).digest()
 
 
 class LinkOwner(Protocol):
-    """What a link needs of the instance that it belongs to."""
+    """What a link requires of its owner."""
 
     compresses: bool
-    """Whether frames that are sent are compressed."""
+    """Whether sent frames are compressed."""
 
     counts: collections.Counter[str]
-    """Links closed, by reason."""
+    """Number of links closed, by reason."""
 
     @property
     def now(self) -> float:
-        """The present, in seconds."""
+        """The current time, in seconds."""
 
     def make_hello(self, nonce: bytes) -> frames.Hello:
-        """Answer a challenge."""
+        """Create the signed hello that answers a challenge."""
 
-    def is_genuine(self, hello: frames.Hello, nonce: bytes) -> bool:
-        """Check a hello against the challenge that was sent."""
+    def is_authentic(self, hello: frames.Hello, nonce: bytes) -> bool:
+        """Verify a hello against the challenge that was sent."""
 
-    def on_opened(self, link: PeerLink) -> None:
-        """Take a proven link into use."""
+    def on_authenticated(self, link: PeerLink) -> None:
+        """Register an authenticated link."""
 
     def on_frame(self, link: PeerLink, frame: frames.Frame) -> None:
-        """Take a frame in."""
+        """Process a frame that arrived on an authenticated link."""
 
     def on_closed(self, link: PeerLink) -> None:
-        """Note that a link is gone."""
+        """Process the end of a link's connection."""
 
 
 class PeerLink(basic.Int32StringReceiver):
-    """One end of a link."""
+    """One end of a link; a Twisted protocol of frames with a length prefix."""
 
     MAX_LENGTH = codec.MAX_FRAME_BYTES
     transport: Any
 
     def __init__(self, owner: LinkOwner, is_dialler: bool = False) -> None:
-        """Make an end that is not connected yet.
+        """Initialise without a connection.
 
         Args:
-            owner: The instance's links.
+            owner: Owner of the link.
             is_dialler: Whether this end opened the connection.
         """
         self._owner = owner
         self.is_dialler = is_dialler
+        """Whether this end opened the connection."""
         self._nonce = os.urandom(_NONCE_BYTES)
         self._deflater = deflate.Deflater(
             deflate.COMPRESSION_LEVEL if owner.compresses else deflate.NO_COMPRESSION
         )
         self._inflater = deflate.Inflater(codec.MAX_FRAME_BYTES)
-        self._is_dead = False
-        self._beat_data = b""
-        self._beat: frames.Frame | None = None
+        self._is_closed = False
+        self._last_heartbeat_data = b""
+        self._last_heartbeat: frames.Frame | None = None
         self.hello: frames.Hello | None = None
-        self.heard_at = 0.0
+        """Verified hello of the other end; None until the link is authenticated."""
+        self.last_received_at = 0.0
+        """Time of connection or of the last received frame, in seconds."""
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Challenge the other side."""
+        """Send the challenge."""
         self.transport.setTcpNoDelay(True)
-        self.heard_at = self._owner.now
+        self.last_received_at = self._owner.now
         self.send(frames.Challenge(self._nonce))
 
     def send(self, frame: frames.Frame) -> None:
         """Send a frame.
 
         Args:
-            frame: The frame.
+            frame: The frame to send.
         """
         self.send_encoded(codec.encode(frame, self._owner.now))
 
     def send_encoded(self, data: bytes) -> None:
-        """Send a frame that is encoded already.
+        """Send a frame that is already encoded.
 
         Args:
-            data: What `codec.encode` made of it, just now.
+            data: Result of `codec.encode`, called just now, because frames carry remaining times.
         """
-        packed = self._deflater.deflate(data)
-        # At once: what a gatherer does should not wait for the calls that follow its query.
-        immediate_write.write(self.transport, struct.pack(self.structFormat, len(packed)) + packed)
+        compressed = self._deflater.deflate(data)
+        # Written immediately, so that a gatherer need not wait until the current reactor iteration,
+        # which may have many more calls to make, has ended.
+        immediate_write.write(
+            self.transport, struct.pack(self.structFormat, len(compressed)) + compressed
+        )
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Take in one frame.
+        """Process one received frame.
 
         Args:
-            string: Its bytes.
+            string: The compressed frame, without its length prefix.
         """
-        if self._is_dead:
+        if self._is_closed:
             return
-        self.heard_at = self._owner.now
+        self.last_received_at = self._owner.now
         try:
             frame = self._decode(self._inflater.inflate(string))
         except codec.MalformedFrameError as error:
@@ -137,40 +143,40 @@
             self._owner.on_frame(self, frame)
 
     def _decode(self, data: bytes) -> frames.Frame:
-        """Read a frame; most are heartbeats that say the same as the last one."""
-        if self._beat is not None and data == self._beat_data:
-            return self._beat
-        frame = codec.decode(data, self.heard_at)
+        """Decode a frame; a heartbeat identical to the previous one, as most are, is reused."""
+        if self._last_heartbeat is not None and data == self._last_heartbeat_data:
+            return self._last_heartbeat
+        frame = codec.decode(data, self.last_received_at)
         if isinstance(frame, frames.Heartbeat):
-            self._beat_data, self._beat = data, frame
+            self._last_heartbeat_data, self._last_heartbeat = data, frame
         return frame
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        """Close the link, because a frame is too long.
+        """Close the link because a frame exceeds `MAX_LENGTH`.
 
         Args:
-            length: The length announced.
+            length: Length in bytes given in the frame's prefix.
         """
         self.close(f"frame of {length} bytes")
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Tell the links that this one is gone.
+        """Notify the owner that the connection is closed.
 
         Args:
-            reason: Why, by Twisted.
+            reason: Reason reported by Twisted.
         """
-        self._is_dead = True
+        self._is_closed = True
         self._owner.on_closed(self)
 
     def close(self, reason: str) -> None:
         """Close the link.
 
         Args:
-            reason: Why; it is logged.
+            reason: Reason for the log; the part before the first colon is counted in `counts`.
         """
-        if self._is_dead:
+        if self._is_closed:
             return
-        self._is_dead = True
+        self._is_closed = True
         name = self.hello.name if self.hello else None
         _log.warning("link_closed", peer=name, reason=reason)
         self._owner.counts[f"closed:{reason.partition(':')[0]}"] += 1
@@ -180,10 +186,10 @@
         if isinstance(frame, frames.Challenge):
             self.send(self._owner.make_hello(frame.nonce))
         elif isinstance(frame, frames.Hello):
-            if not self._owner.is_genuine(frame, self._nonce):
+            if not self._owner.is_authentic(frame, self._nonce):
                 self.close("refused: the signature is wrong")
                 return
             self.hello = frame
-            self._owner.on_opened(self)
+            self._owner.on_authenticated(self)
         else:
             self.close(f"refused: {type(frame).__name__} before hello")
--- a/src/lineworks/services/target_pool.py
+++ b/src/lineworks/services/target_pool.py
@@ -1,6 +1,6 @@
-"""Connections to targets: sends attempts over HTTP and never holds more than its share.
+"""Sends attempts to targets over HTTP, with a limit on this instance's connections to each target.
 
-The protocol is described in docs/reference/targets.md.
+docs/reference/targets.md describes the protocol.
 """
 
 from __future__ import annotations
@@ -23,69 +23,69 @@
     from lineworks.decisions import catalog
 
 CANCEL_GRACE = 0.25
-"""Seconds that a target has to end a cancelled request before its connection is closed."""
+"""Seconds that a target has to respond to a cancelled request before its connection is closed."""
 
 REPORT_TIMEOUT = 1.0
-"""Seconds to wait for a target's report."""
+"""Timeout in seconds for a target's status report or for its reply to a cancellation."""
 
 CONNECT_TIMEOUT = 1.0
-"""Seconds to wait for a connection."""
+"""Timeout in seconds for opening a connection."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Exchange:
-    """An attempt and its connection."""
+    """An attempt in progress and its connection."""
 
     on_outcome: Callable[[ports.Outcome], None] | None
     connection: target_connection.TargetConnection | None = None
     is_cancelled: bool = False
 
 
-class _TargetPool:
-    """The connections to one target."""
+class _ConnectionPool:
+    """Connections of this instance to one target."""
 
     def __init__(self, reactor: Any, target: catalog.Target) -> None:
         self._reactor = reactor
         self._target = target
         self._idle: list[target_connection.TargetConnection] = []
-        self._open = 0
+        self._open_count = 0
 
-    def take(
+    def acquire(
         self,
         on_ready: Callable[[target_connection.TargetConnection], None],
         on_refused: Callable[[str], None],
     ) -> bool:
-        """Get a connection, idle or new.
+        """Acquire an idle connection or open a new one.
 
         Args:
-            on_ready: Called with the connection, at once when one is idle.
-            on_refused: Called with the error when a new one could not be opened.
+            on_ready: Called with the connection, synchronously if one is idle.
+            on_refused: Called with the error message if a new connection could not be opened.
 
         Returns:
-            False when the share of connections is used up; then neither is called.
+            False if the limit on connections is reached; then neither function is called.
         """
         while self._idle:
             connection = self._idle.pop()
             if not connection.is_closed:
                 on_ready(connection)
                 return True
-        if self._open >= ownership.connection_share(self._target.connections):
+        if self._open_count >= ownership.connection_share(self._target.connections):
             return False
-        self._open += 1
+        self._open_count += 1
         self._connect(on_ready, on_refused)
         return True
 
-    def give_back(self, connection: target_connection.TargetConnection) -> None:
-        """Keep a connection for the next request.
+    def release(self, connection: target_connection.TargetConnection) -> None:
+        """Return a connection to the pool for reuse.
 
         Args:
-            connection: The connection.
+            connection: The connection; it is ignored if it is closed or still in use.
         """
         if connection.is_idle:
             self._idle.append(connection)
 
     def close(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         for connection in self._idle:
             connection.transport.loseConnection()
         self._idle.clear()
@@ -104,34 +104,34 @@
         )
 
         def refused(failure: Any) -> None:
-            self._open -= 1
+            self._open_count -= 1
             on_refused(failure.getErrorMessage())
 
         endpoint.connect(factory).addCallbacks(on_ready, refused)
 
     def _on_closed(self, connection: target_connection.TargetConnection) -> None:
-        self._open -= 1
+        self._open_count -= 1
         if connection in self._idle:
             self._idle.remove(connection)
 
 
 class TargetPool:
-    """Implements the engine's target port."""
+    """Implements `lineworks.engine.ports.TargetPort` over HTTP."""
 
     def __init__(self, reactor: Any) -> None:
-        """Make a pool without connections.
+        """Initialise without connections.
 
         Args:
             reactor: Twisted's reactor.
         """
         self._reactor = reactor
-        self._pools: dict[str, _TargetPool] = {}
+        self._pools: dict[str, _ConnectionPool] = {}
 
     def start(self) -> None:
-        """Do nothing; the first attempt connects."""
+        """Do nothing; connections are opened on demand."""
 
     def stop(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         for pool in self._pools.values():
             pool.close()
 
@@ -144,9 +144,10 @@
         """Start an attempt; see `lineworks.engine.ports.TargetPort`.
 
         Args:
-            target: Where to.
-            attempt: What to send.
-            on_outcome: Called once with the outcome, never from inside this call.
+            target: The target.
+            attempt: The attempt to send.
+            on_outcome: Called exactly once with the outcome, unless the attempt is cancelled first;
+                never called synchronously.
 
         Returns:
             A function that cancels the attempt.
@@ -155,119 +156,126 @@
         remaining = max(0.0, attempt.deadline - self._reactor.seconds())
         headers = target_http.request_headers(attempt, remaining)
         try:
-            data = _write("POST", "/v1/sub-query", target, headers, attempt.body)
+            data = _encode("POST", "/v1/sub-query", target, headers, attempt.body)
         except target_connection.UnsafeHeaderError as error:
             return self._refuse_later(exchange, verdict.Reason.INVALID, str(error))
-        pool = self._pool(target)
-        is_taken = pool.take(
-            functools.partial(self._send_on, pool, exchange, data),
+        pool = self._pool_for(target)
+        is_acquired = pool.acquire(
+            functools.partial(self._send_attempt, pool, exchange, data),
             functools.partial(_refuse, exchange, verdict.Reason.UNREACHABLE),
         )
-        if not is_taken:
+        if not is_acquired:
             detail = "own share of connections is used up"
             return self._refuse_later(exchange, verdict.Reason.CAPPED, detail)
         return functools.partial(self._cancel, target, attempt, exchange)
 
-    def ask_report(self, target: catalog.Target) -> defer.Deferred[replicas.StatusReport | None]:
-        """Ask a target how it is.
+    def request_report(
+        self, target: catalog.Target
+    ) -> defer.Deferred[replicas.StatusReport | None]:
+        """Request a target's status report.
 
         Args:
             target: The target.
 
         Returns:
-            A deferred with its report, or None when there was no connection to spare or no reply.
+            A deferred that fires with the report, or with None if no connection was available, or
+            the reply was invalid or did not arrive in time.
         """
         asked: defer.Deferred[replicas.StatusReport | None] = defer.Deferred()
 
-        def take(response: target_connection.Response | None) -> None:
+        def handle_response(response: target_connection.Response | None) -> None:
             if not asked.called:
                 asked.callback(_parse_report(response))
 
-        self._call(target, _write("GET", "/v1/report", target, {}, b""), take)
+        self._send_control_request(
+            target, _encode("GET", "/v1/report", target, {}, b""), handle_response
+        )
         return asked
 
-    def _call(
+    def _send_control_request(
         self,
         target: catalog.Target,
         data: bytes,
         on_response: Callable[[target_connection.Response | None], None],
     ) -> None:
-        """Send a small request beside the attempts; a slow one costs its connection."""
-        pool = self._pool(target)
+        """Send a small request that is not an attempt; on timeout its connection is closed."""
+        pool = self._pool_for(target)
 
         def send(connection: target_connection.TargetConnection) -> None:
             timer = self._reactor.callLater(REPORT_TIMEOUT, connection.close)
 
-            def take(response: target_connection.Response | None) -> None:
+            def handle_response(response: target_connection.Response | None) -> None:
                 if timer.active():
                     timer.cancel()
-                pool.give_back(connection)
+                pool.release(connection)
                 on_response(response)
 
-            connection.send(data, take)
+            connection.send(data, handle_response)
 
-        if not pool.take(send, lambda error: on_response(None)):
+        if not pool.acquire(send, lambda error: on_response(None)):
             on_response(None)
 
-    def _pool(self, target: catalog.Target) -> _TargetPool:
+    def _pool_for(self, target: catalog.Target) -> _ConnectionPool:
         pool = self._pools.get(target.name)
         if pool is None:
-            pool = self._pools[target.name] = _TargetPool(self._reactor, target)
+            pool = self._pools[target.name] = _ConnectionPool(self._reactor, target)
         return pool
 
-    def _send_on(
+    def _send_attempt(
         self,
-        pool: _TargetPool,
+        pool: _ConnectionPool,
         exchange: _Exchange,
         data: bytes,
         connection: target_connection.TargetConnection,
     ) -> None:
         if exchange.is_cancelled:
-            pool.give_back(connection)
+            pool.release(connection)
             return
         exchange.connection = connection
         connection.send(data, functools.partial(self._on_response, pool, exchange))
 
     def _on_response(
         self,
-        pool: _TargetPool,
+        pool: _ConnectionPool,
         exchange: _Exchange,
         response: target_connection.Response | None,
     ) -> None:
         connection = exchange.connection
         assert connection is not None
         exchange.connection = None
-        pool.give_back(connection)
+        pool.release(connection)
         if response is None:
-            found = verdict.may_have_run(verdict.Reason.LINK_LOST, "the connection broke")
-            _report_once(exchange, ports.Outcome(found))
+            lost = verdict.may_have_run(verdict.Reason.LINK_LOST, "the connection broke")
+            _deliver_outcome(exchange, ports.Outcome(lost))
             return
         outcome = target_http.read_outcome(response.status, response.headers, response.body)
-        _report_once(exchange, outcome)
+        _deliver_outcome(exchange, outcome)
 
     def _refuse_later(
         self, exchange: _Exchange, reason: verdict.Reason, detail: str
     ) -> Callable[[], None]:
         self._reactor.callLater(0, _refuse, exchange, reason, detail)
-        return functools.partial(_forget, exchange)
+        return functools.partial(_discard_outcome, exchange)
 
     def _cancel(self, target: catalog.Target, attempt: ports.Attempt, exchange: _Exchange) -> None:
-        """Tell the target to cancel; close the connection where that does not help."""
-        _forget(exchange)
+        """Ask the target to cancel, and close the connection if that has no effect in time."""
+        _discard_outcome(exchange)
         exchange.is_cancelled = True
         connection = exchange.connection
         if connection is None:
             return
         headers = {target_http.REQUEST: attempt.id}
-        self._call(target, _write("POST", "/v1/cancel", target, headers, b""), _ignore)
+        self._send_control_request(
+            target, _encode("POST", "/v1/cancel", target, headers, b""), _ignore_response
+        )
         self._reactor.callLater(CANCEL_GRACE, _close_if_busy, exchange)
 
 
-def _write(
+def _encode(
     method: str, path: str, target: catalog.Target, headers: dict[str, str], body: bytes
 ) -> bytes:
     host = f"{target.host}:{target.port}"
-    return target_connection.write_request(method, path, host, headers, body)
+    return target_connection.encode_request(method, path, host, headers, body)
 
 
 def _parse_report(response: target_connection.Response | None) -> replicas.StatusReport | None:
@@ -280,21 +288,21 @@
 
 
 def _refuse(exchange: _Exchange, reason: verdict.Reason, detail: str) -> None:
-    _report_once(exchange, ports.Outcome(verdict.not_run(reason, detail)))
+    _deliver_outcome(exchange, ports.Outcome(verdict.not_run(reason, detail)))
 
 
-def _report_once(exchange: _Exchange, outcome: ports.Outcome) -> None:
+def _deliver_outcome(exchange: _Exchange, outcome: ports.Outcome) -> None:
     on_outcome = exchange.on_outcome
     exchange.on_outcome = None
     if on_outcome is not None:
         on_outcome(outcome)
 
 
-def _forget(exchange: _Exchange) -> None:
+def _discard_outcome(exchange: _Exchange) -> None:
     exchange.on_outcome = None
 
 
-def _ignore(response: target_connection.Response | None) -> None:
+def _ignore_response(response: target_connection.Response | None) -> None:
     del response
 
 
