--- a/bench/platform_capacity_rows.py
+++ b/bench/platform_capacity_rows.py
@@ -55,7 +55,7 @@
     update = target["update_us"] * size.replicas / 1e6
     share = update / _POLL_SECONDS
     reads = size.halls / _POLL_SECONDS + size.nodes / _RENEW_SECONDS * _RENEWAL_PRICE
-    collections = (size.hall_nodes - 1) / extra_keeper.PULL_SECONDS
+    collections = (size.hall_nodes - 1) / extra_keeper.MIN_PULL_INTERVAL_SECONDS
     collection = found["collection"]
     report = found["suspect"]
     reports = _SUSPECT_REPORTS * links
@@ -119,7 +119,7 @@
     asked, pulled = found["quota"], found["quota_pull"]
     requests = size.queries / size.nodes
     large = _LARGE_SHARE * size.queries / size.halls
-    pulls = (size.halls - 1) / quota_holder.MOST_PAUSE
+    pulls = (size.halls - 1) / quota_holder.MAX_PULL_BACKOFF_SECONDS
     return [
         (
             f"{_WORKSPACES:,} workspaces with two keys each",
--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -248,7 +248,7 @@
 
     def _is_reader(self) -> bool:
         """Say whether this instance reads the store for its hall."""
-        return hall_peers.acts_for_hall(self._links, self._hall, self._name, "reader")
+        return hall_peers.represents_hall(self._links, self._hall, self._name, "reader")
 
     async def _ask(self) -> None:
         """Ask the store what is new, or for everything at first."""
--- a/src/lineworks/forwarding/extra_keeper.py
+++ b/src/lineworks/forwarding/extra_keeper.py
@@ -4,7 +4,7 @@
 An instance that needs extra attempts asks the keeper of its hall: the instance that rendezvous
 hashing names among those it hears of. Whoever is asked acts as keeper: it collects the credit of
 the hall's instances and grants what there is. So no agreement is needed, and a keeper that is
-killed, cut off or frozen costs those that ask it `ASK_SECONDS` once. Why this never grants too much
+killed, cut off or frozen costs those that ask it `ASK_TIMEOUT_SECONDS` once. Why this never grants too much
 is told in `lineworks.decisions.extra_attempts`.
 """
 
@@ -27,23 +27,23 @@
     from lineworks.forwarding import gatherers
     from lineworks.services import peer_links
 
-KEEPER = "extra attempts"
+KEEPER_HASH_KEY = "extra attempts"
 """What rendezvous hashing looks for."""
 
-ASK_SECONDS = 0.06
+ASK_TIMEOUT_SECONDS = 0.06
 """Seconds that an answer of the keeper is waited for; then it is passed over until it is heard of
 again. Two round trips in a hall and a collection take a few milliseconds, on a busy one some
 more."""
 
-MOST_ASKS = 2
+MAX_ASKS = 2
 """Times that an extra attempt is asked for, for one shard or single request: once more if the
 keeper did not answer."""
 
-PULL_SECONDS = 0.25
+MIN_PULL_INTERVAL_SECONDS = 0.25
 """Seconds between collections at least: each one costs a message from and to every instance of the
 hall."""
 
-PULL_WAIT = 0.02
+PULL_TIMEOUT_SECONDS = 0.02
 """Seconds that a collection waits for instances that do not answer."""
 
 _log = structlog.get_logger(component="extra_keeper")
@@ -112,10 +112,10 @@
         self._pending: dict[int, _Pending] = {}
         self._keeper = ""
         # The collection under way: who has not answered, and who waits for its end.
-        self._owing: set[str] = set()
+        self._awaited: set[str] = set()
         self._waiting: list[_Request] = []
         self._pulls: dict[int, float] = {}
-        self._pulled_at = -PULL_SECONDS
+        self._pulled_at = -MIN_PULL_INTERVAL_SECONDS
         self.counts: collections.Counter[str] = collections.Counter()
         """Requests, attempts granted and refused, requests without an answer, collections."""
         links.handle(node_frames.ExtraAsk, self._on_ask)
@@ -151,7 +151,7 @@
         number = next(self._numbers)
         ask = node_frames.ExtraAsk(number, tuple(hedges), tuple(retries))
         if keeper != self._name and self._links.send(keeper, ask):
-            timer = self._reactor.callLater(ASK_SECONDS, self._on_timeout, number)
+            timer = self._reactor.callLater(ASK_TIMEOUT_SECONDS, self._on_timeout, number)
             self._pending[number] = _Pending(keeper, now, listeners, timer)
             return
         reply = functools.partial(self._accept, now, listeners)
@@ -164,7 +164,7 @@
             Its name; that of this instance if it is the one.
         """
         able = self._peers.able(self._hall) if self._is_shared else []
-        (keeper,) = ownership.owners(KEEPER, [*able, self._name], 1)
+        (keeper,) = ownership.owners(KEEPER_HASH_KEY, [*able, self._name], 1)
         if keeper != self._keeper:
             _log.info("extra_keeper", keeper=keeper, before=self._keeper, instances=len(able) + 1)
             self._keeper = keeper
@@ -198,8 +198,8 @@
             pending = self._pending.pop(number)
             pending.timer.cancel()
             self._accept(pending.sent_at, pending.listeners, ())
-        if name in self._owing:
-            self._settle(name)
+        if name in self._awaited:
+            self._stop_awaiting(name)
 
     def _on_ask(self, link: Any, frame: node_frames.ExtraAsk) -> None:
         def reply(services: Sequence[str]) -> None:
@@ -211,26 +211,26 @@
         """Grant what there is; collect the hall's credit first where that is due and needed."""
         now = self._reactor.seconds()
         self._grant(request, now)
-        if request.is_open and now - self._pulled_at >= PULL_SECONDS:
+        if request.is_open and now - self._pulled_at >= MIN_PULL_INTERVAL_SECONDS:
             self._pull(now)
             self._grant(request, now)
-        if request.is_open and self._owing:
+        if request.is_open and self._awaited:
             self._waiting.append(request)
         else:
             self._reply(request)
 
     def _grant(self, request: _Request, now: float) -> None:
-        kept = extra_attempts.RESERVED_FOR_RETRIES
+        reserved = extra_attempts.RESERVED_FOR_RETRIES
         request.retries = self._grant_each(request, request.retries, now, 0.0)
-        request.hedges = self._grant_each(request, request.hedges, now, kept)
+        request.hedges = self._grant_each(request, request.hedges, now, reserved)
 
     def _grant_each(
-        self, request: _Request, services: Sequence[str], now: float, kept: float
+        self, request: _Request, services: Sequence[str], now: float, reserved: float
     ) -> list[str]:
         """Grant what there is, and tell what was wanted in vain."""
         refused = []
         for service in services:
-            if self._extra.grant(service, now, kept):
+            if self._extra.grant(service, now, reserved):
                 request.granted.append(service)
             else:
                 refused.append(service)
@@ -252,11 +252,11 @@
         self._pulls = {number: at for number, at in self._pulls.items() if at > oldest}
         number = next(self._numbers)
         self._pulls[number] = now
-        self._owing = set(self._peers.able(self._hall))
-        for peer in self._owing:
+        self._awaited = set(self._peers.able(self._hall))
+        for peer in self._awaited:
             self._links.send(peer, node_frames.CreditPull(number))
-        if self._owing:
-            self._reactor.callLater(PULL_WAIT, self._on_pull_over, number)
+        if self._awaited:
+            self._reactor.callLater(PULL_TIMEOUT_SECONDS, self._on_pull_timeout, number)
 
     def _on_pull(self, link: Any, frame: node_frames.CreditPull) -> None:
         amount = self._extra.withdraw_earned(self._reactor.seconds())
@@ -268,17 +268,17 @@
             return
         self._extra.deposit(frame.amount, asked_at, self._reactor.seconds())
         if frame.number == max(self._pulls):
-            self._settle(link.hello.name)
+            self._stop_awaiting(link.hello.name)
 
-    def _settle(self, peer: str) -> None:
+    def _stop_awaiting(self, peer: str) -> None:
         """Note that nothing more is to be expected of an instance in this collection."""
-        self._owing.discard(peer)
-        if not self._owing:
+        self._awaited.discard(peer)
+        if not self._awaited:
             self._end_pull()
 
-    def _on_pull_over(self, number: int) -> None:
-        if self._pulls and number == max(self._pulls) and self._owing:
-            self._owing.clear()
+    def _on_pull_timeout(self, number: int) -> None:
+        if self._pulls and number == max(self._pulls) and self._awaited:
+            self._awaited.clear()
             self._end_pull()
 
     def _end_pull(self) -> None:
--- a/src/lineworks/forwarding/hall_peers.py
+++ b/src/lineworks/forwarding/hall_peers.py
@@ -27,7 +27,7 @@
     ]
 
 
-def acts_for_hall(links: peer_links.PeerLinks, hall: str, own: str, duty: str) -> bool:
+def represents_hall(links: peer_links.PeerLinks, hall: str, own: str, duty: str) -> bool:
     """Say whether this instance is the one of its hall that does something for all of them.
 
     Instances whose links differ may both say so for a while.
--- a/src/lineworks/forwarding/quota_holder.py
+++ b/src/lineworks/forwarding/quota_holder.py
@@ -24,31 +24,31 @@
     from lineworks.decisions import workspaces
     from lineworks.services import peer_links
 
-PULL_WAIT = 0.045
+PULL_TIMEOUT_SECONDS = 0.045
 """Seconds that a request waits for tokens of other halls: two round trips between regions."""
 
-LEAST_PAUSE = 0.1
+MIN_PULL_BACKOFF_SECONDS = 0.1
 """Seconds after a pull that brought too little before the next one."""
 
-AHEAD_PAUSE = 0.25
+PREFETCH_BACKOFF_SECONDS = 0.25
 """Seconds before tokens are asked for ahead of need again, where there were too few."""
 
-MOST_PAUSE = 2.0
+MAX_PULL_BACKOFF_SECONDS = 2.0
 """Seconds to which that pause grows while pulls go on bringing too little."""
 
-LEAST_BROUGHT = 0.1
+MIN_PULLED_TOKENS = 0.1
 """Tokens that a pull must have brought to be repeated at once."""
 
-MOST_ROUNDS = 3
+MAX_PULL_ROUNDS = 3
 """Times that halls are asked in one pull."""
 
-QUIET_SECONDS = 1.0
+IDLE_AFTER_SECONDS = 1.0
 """Seconds without a request after which a hall gives another one all that it asks for."""
 
-ASKED_MULTIPLE = 2.0
+PULL_OVERREQUEST_FACTOR = 2.0
 """Multiple of an equal part of what is wanted that each hall is asked for: some have less."""
 
-MOST_RETRY_AFTER = 2.0
+MAX_RETRY_AFTER = 2.0
 """Seconds that a refused caller is told to wait at most."""
 
 
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Held:
+class _WorkspaceTokens:
     """The tokens of one workspace."""
 
     bucket: quota.Bucket
@@ -102,28 +102,28 @@
     refused_at: float = -math.inf
     """When a request was refused last, in seconds."""
 
-    free_at: float = -math.inf
+    next_token_at: float = -math.inf
     """When the next token is free that no refused caller was told of yet, in seconds."""
 
-    owing: set[str] = dataclasses.field(default_factory=set)
+    awaited: set[str] = dataclasses.field(default_factory=set)
     """Instances that haven't answered the pull under way; empty where there is none."""
 
     pull: int = 0
     """Number of the latest message of the latest pull."""
 
-    brought: float = 0.0
+    received: float = 0.0
     """Tokens that the latest pull brought so far."""
 
     rounds: int = 0
     """Times that halls were asked in the latest pull."""
 
-    pause: float = LEAST_PAUSE
+    backoff: float = MIN_PULL_BACKOFF_SECONDS
     """Seconds without pulls after the next one that brings too little."""
 
     may_pull_at: float = -math.inf
     """When other halls may be asked again, in seconds."""
 
-    may_pull_ahead_at: float = -math.inf
+    may_prefetch_at: float = -math.inf
     """The same where no request waits."""
 
 
@@ -156,10 +156,10 @@
         self._ranks = ranks
         self._bound = bound
         # Seconds for which nobody else of the hall must have acted.
-        self._alone_after = bound.window + quota.MAX_TRANSIT_SECONDS
+        self._sole_after = bound.window + quota.MAX_TRANSIT_SECONDS
         self._limits: dict[str, workspaces.Quota] = {}
         self._version = -1
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _WorkspaceTokens] = {}
         self._numbers = itertools.count(1)
         self._pulls: dict[int, tuple[str, float]] = {}
         self._timer: Any = None
@@ -193,7 +193,7 @@
         self._limits = dict(limits)
         self._version = version
         if limits and self._timer is None:
-            self._check()
+            self._update()
         now = self._reactor.seconds()
         for name, held in self._held.items():
             limit = self._limits.get(name)
@@ -229,14 +229,14 @@
             self._grant(reply, now)
             # A first request after a quiet time says nothing of when the next one comes.
             if rate > 0:
-                self._pull_ahead(workspace, held, now)
+                self._prefetch(workspace, held, now)
             return None
-        if not held.owing and now < held.may_pull_at:
+        if not held.awaited and now < held.may_pull_at:
             self._refuse(held, reply, now)
             return None
-        waiter = _Waiter(reply, now + PULL_WAIT)
+        waiter = _Waiter(reply, now + PULL_TIMEOUT_SECONDS)
         held.waiting.append(waiter)
-        if not held.owing:
+        if not held.awaited:
             self._pull(workspace, held, now)
 
         def withdraw() -> None:
@@ -277,9 +277,9 @@
     def _divide(self, workspace: str, limit: workspaces.Quota) -> tuple[quota.Part, Sequence[str]]:
         """Tell what a hall has of a quota, and which halls have it."""
         part = quota.part_of(limit, self._bound, len(self._halls))
-        return part, quota_ranks.by_hash(workspace, self._halls)[: part.holders]
+        return part, quota_ranks.rank_by_hash(workspace, self._halls)[: part.holders]
 
-    def _find(self, workspace: str) -> _Held | None:
+    def _find(self, workspace: str) -> _WorkspaceTokens | None:
         """Find the tokens of a workspace, or begin to hold them."""
         if not self._ranks.may_hold(workspace):
             return None
@@ -288,24 +288,28 @@
             now = self._reactor.seconds()
             limit = self._limits[workspace]
             part = self._own_part(workspace, limit)
-            bucket = quota.Bucket(part, now, self._ranks.acts_alone(workspace, self._alone_after))
-            held = _Held(bucket, limit, now)
+            bucket = quota.Bucket(
+                part, now, self._ranks.is_sole_holder(workspace, self._sole_after)
+            )
+            held = _WorkspaceTokens(bucket, limit, now)
             held.bucket.set_share(self._ranks.share(workspace), now)
             self._held[workspace] = held
             self.counts["lives"] += 1
         return held
 
-    def _check(self) -> None:
+    def _update(self) -> None:
         """Look who is heard of, and forget what was not used for a window."""
-        self._timer = self._reactor.callLater(quota.CHECK_SECONDS, self._check)
+        self._timer = self._reactor.callLater(quota.CHECK_SECONDS, self._update)
         now = self._reactor.seconds()
-        self._ranks.note_hearing()
+        self._ranks.update_liveness()
         for name, held in list(self._held.items()):
-            if now - held.acted_at > self._bound.window and not held.owing:
+            if now - held.acted_at > self._bound.window and not held.awaited:
                 del self._held[name]
             else:
                 held.bucket.set_share(self._ranks.share(name), now)
-                held.bucket.set_is_only_life(self._ranks.acts_alone(name, self._alone_after), now)
+                held.bucket.set_is_only_life(
+                    self._ranks.is_sole_holder(name, self._sole_after), now
+                )
         oldest = now - quota.TRANSFER_TTL_SECONDS
         self._pulls = {number: pull for number, pull in self._pulls.items() if pull[1] > oldest}
 
@@ -313,106 +317,110 @@
         self.counts["granted"] += 1
         reply(Answer(quota.Decision.GRANTED, granted_at=now))
 
-    def _refuse(self, held: _Held, reply: Callable[[Answer], None], now: float) -> None:
+    def _refuse(self, held: _WorkspaceTokens, reply: Callable[[Answer], None], now: float) -> None:
         """Refuse, and tell when there is a token that no caller was told of yet."""
         self.counts["refused"] += 1
         held.refused_at = now
-        between = 1 / held.limit.rate if held.limit.rate > 0 else MOST_RETRY_AFTER
-        held.free_at = max(held.free_at, now) + between
-        if held.free_at > now + MOST_RETRY_AFTER:
+        interval = 1 / held.limit.rate if held.limit.rate > 0 else MAX_RETRY_AFTER
+        held.next_token_at = max(held.next_token_at, now) + interval
+        if held.next_token_at > now + MAX_RETRY_AFTER:
             # Begin again with the next token, so that what callers are told stays spread.
-            held.free_at = now + min(between, MOST_RETRY_AFTER)
-        reply(Answer(quota.Decision.EXHAUSTED, held.free_at - now))
+            held.next_token_at = now + min(interval, MAX_RETRY_AFTER)
+        reply(Answer(quota.Decision.EXHAUSTED, held.next_token_at - now))
 
-    def _pull_ahead(self, workspace: str, held: _Held, now: float) -> None:
+    def _prefetch(self, workspace: str, held: _WorkspaceTokens, now: float) -> None:
         """Ask for tokens before they are needed."""
-        may_pull_at = max(held.may_pull_at, held.may_pull_ahead_at)
-        if not held.owing and now >= may_pull_at and self._runs_low(held, now):
+        may_pull_at = max(held.may_pull_at, held.may_prefetch_at)
+        if not held.awaited and now >= may_pull_at and self._is_running_low(held, now):
             self._pull(workspace, held, now)
 
-    def _runs_low(self, held: _Held, now: float) -> bool:
+    def _is_running_low(self, held: _WorkspaceTokens, now: float) -> bool:
         """Say whether requests come faster than the next token, so that one would have to wait."""
         if held.bucket.part is quota.NO_PART:
             # What is asked for ahead of need could not be kept.
             return False
         return held.bucket.seconds_until_next(now) * held.rate.value(now) > 1
 
-    def _pull(self, workspace: str, held: _Held, now: float) -> None:
+    def _pull(self, workspace: str, held: _WorkspaceTokens, now: float) -> None:
         """Ask the other halls for tokens."""
         self.counts["pulls"] += 1
-        held.brought = 0.0
+        held.received = 0.0
         held.rounds = 0
         self._ask_halls(workspace, held, now)
 
-    def _ask_halls(self, workspace: str, held: _Held, now: float) -> None:
+    def _ask_halls(self, workspace: str, held: _WorkspaceTokens, now: float) -> None:
         """Ask each hall for a part of what is lacking."""
         _, halls = self._divide(workspace, held.limit)
         others = [hall for hall in halls if hall != self._hall]
-        asked = [self._ranks.foreign_holder(workspace, hall) for hall in others]
+        asked = [self._ranks.remote_holder(workspace, hall) for hall in others]
         names = [name for name in asked if name is not None]
         rate = held.rate.value(now)
         wanted = quota.wanted(held.bucket.tokens(now), len(held.waiting), rate)
         # Asked once more, halls have less than was thought: each one gives what it can.
-        each = wanted if held.rounds else min(wanted, ASKED_MULTIPLE * wanted / max(1, len(names)))
+        each = (
+            wanted
+            if held.rounds
+            else min(wanted, PULL_OVERREQUEST_FACTOR * wanted / max(1, len(names)))
+        )
         held.rounds += 1
         held.pull = next(self._numbers)
         self._pulls[held.pull] = (workspace, now)
         frame = node_frames.QuotaPull(held.pull, workspace, each)
-        held.owing = {name for name in names if self._links.send(name, frame)}
-        if not held.owing:
+        held.awaited = {name for name in names if self._links.send(name, frame)}
+        if not held.awaited:
             self._end_round(workspace, held, now)
             return
-        until = min((waiter.until for waiter in held.waiting), default=now + PULL_WAIT)
+        until = min((waiter.until for waiter in held.waiting), default=now + PULL_TIMEOUT_SECONDS)
         wait = max(0.0, until - now)
-        self._reactor.callLater(wait, self._on_pull_over, workspace, held, held.pull)
+        self._reactor.callLater(wait, self._on_pull_timeout, workspace, held, held.pull)
 
-    def _on_pull_over(self, workspace: str, held: _Held, number: int) -> None:
+    def _on_pull_timeout(self, workspace: str, held: _WorkspaceTokens, number: int) -> None:
         """Go on without the halls that did not answer in time."""
-        if held.pull == number and held.owing:
-            self.counts["unanswered"] += len(held.owing)
-            held.owing.clear()
+        if held.pull == number and held.awaited:
+            self.counts["unanswered"] += len(held.awaited)
+            held.awaited.clear()
             self._end_round(workspace, held, self._reactor.seconds())
 
-    def _end_round(self, workspace: str, held: _Held, now: float) -> None:
+    def _end_round(self, workspace: str, held: _WorkspaceTokens, now: float) -> None:
         """Ask more halls where that is needed and of use, or refuse those that still wait."""
         self._serve_waiting(held, now)
         has_time = all(waiter.until > now for waiter in held.waiting)
-        is_of_use = held.brought >= LEAST_BROUGHT and held.rounds < MOST_ROUNDS
-        if held.waiting and has_time and is_of_use:
+        is_worthwhile = held.received >= MIN_PULLED_TOKENS and held.rounds < MAX_PULL_ROUNDS
+        if held.waiting and has_time and is_worthwhile:
             self._ask_halls(workspace, held, now)
             return
         if held.waiting:
             self.counts["pulls_in_vain"] += 1
-            held.may_pull_at = now + held.pause
-            held.pause = min(MOST_PAUSE, 2 * held.pause)
-        elif self._runs_low(held, now):
-            held.may_pull_ahead_at = now + AHEAD_PAUSE
-        if held.brought >= 1 or not held.waiting:
-            held.pause = LEAST_PAUSE
+            held.may_pull_at = now + held.backoff
+            held.backoff = min(MAX_PULL_BACKOFF_SECONDS, 2 * held.backoff)
+        elif self._is_running_low(held, now):
+            held.may_prefetch_at = now + PREFETCH_BACKOFF_SECONDS
+        if held.received >= 1 or not held.waiting:
+            held.backoff = MIN_PULL_BACKOFF_SECONDS
         waiting, held.waiting = held.waiting, []
         for waiter in waiting:
             self._refuse(held, waiter.reply, now)
 
-    def _serve_waiting(self, held: _Held, now: float) -> None:
+    def _serve_waiting(self, held: _WorkspaceTokens, now: float) -> None:
         """Grant tokens to those that wait, as far as there are any."""
         while held.waiting and held.bucket.take(now):
             self._grant(held.waiting.pop(0).reply, now)
 
     def _on_pull(self, link: Any, frame: node_frames.QuotaPull) -> None:
-        amount = self._give(frame.workspace, frame.amount, link.hello.hall)
+        amount = self._transfer_out(frame.workspace, frame.amount, link.hello.hall)
         link.send(node_frames.QuotaShare(frame.number, amount))
 
-    def _give(self, workspace: str, amount: float, hall: str) -> float:
+    def _transfer_out(self, workspace: str, amount: float, hall: str) -> float:
         """Take tokens for another hall out of those held here, unless this hall lacks some."""
         held = self._find(workspace) if workspace in self._limits else None
         now = self._reactor.seconds()
-        if held is None or held.waiting or now - held.refused_at < AHEAD_PAUSE:
+        if held is None or held.waiting or now - held.refused_at < PREFETCH_BACKOFF_SECONDS:
             return 0.0
         held.acted_at = now
         _, halls = self._divide(workspace, self._limits[workspace])
         if hall not in halls:
             return held.bucket.transfer_out_whole(now, amount)
-        is_quiet = now - held.asked_at > QUIET_SECONDS
+        is_quiet = now - held.asked_at > IDLE_AFTER_SECONDS
         return held.bucket.transfer_out(now, amount, 1.0 if is_quiet else 0.5)
 
     def _on_share(self, link: Any, frame: node_frames.QuotaShare) -> None:
@@ -424,17 +432,17 @@
         now = self._reactor.seconds()
         held.bucket.transfer_in(frame.amount, asked_at, now)
         self._serve_waiting(held, now)
-        if frame.number != held.pull or not held.owing:
+        if frame.number != held.pull or not held.awaited:
             return
-        held.brought += frame.amount
-        held.owing.discard(link.hello.name)
-        if not held.owing:
+        held.received += frame.amount
+        held.awaited.discard(link.hello.name)
+        if not held.awaited:
             self._end_round(workspace, held, now)
 
     def _on_down(self, name: str) -> None:
         now = self._reactor.seconds()
         for workspace, held in list(self._held.items()):
-            if name in held.owing:
-                held.owing.discard(name)
-                if not held.owing:
+            if name in held.awaited:
+                held.awaited.discard(name)
+                if not held.awaited:
                     self._end_round(workspace, held, now)
--- a/src/lineworks/forwarding/quota_keeper.py
+++ b/src/lineworks/forwarding/quota_keeper.py
@@ -25,11 +25,11 @@
     from lineworks.forwarding import gatherers, quota_ranks
     from lineworks.services import peer_links
 
-ASK_SECONDS = quota.GRANT_TTL_SECONDS
+ASK_TIMEOUT_SECONDS = quota.GRANT_TTL_SECONDS
 """Seconds that an answer of a holder is waited for; then the holder is passed over until it is
-heard of again. It may wait for other halls meanwhile (`quota_holder.PULL_WAIT`)."""
+heard of again. It may wait for other halls meanwhile (`quota_holder.PULL_TIMEOUT_SECONDS`)."""
 
-MOST_ASKS = 2
+MAX_ASKS = 2
 """Holders of the own hall that are asked for one request at most; one of another hall is asked
 besides."""
 
@@ -37,13 +37,13 @@
 """Seconds after which a caller may ask again where no holder answered: another instance may hear
 one."""
 
-MOST_NAMED = 200
+MAX_NAMED_WORKSPACES = 200
 """Workspaces whose refusals are counted apart; the rest together."""
 
-OTHERS = "(others)"
+OTHER_WORKSPACES = "(others)"
 """Name under which the refusals of the rest are counted."""
 
-LINES_PER_SECOND = 5.0
+MAX_LOG_LINES_PER_SECOND = 5.0
 """Log lines a second for refusals."""
 
 
@@ -93,7 +93,7 @@
     withdraw_own: Callable[[], None] | None = None
     """Withdraws the question while this instance's own holder has it."""
 
-    asked_far: bool = False
+    asked_remote: bool = False
     """Whether a holder of another hall was asked."""
 
     is_over: bool = False
@@ -128,7 +128,7 @@
         self._peers = peers
         self._ranks = ranks
         self._holder = holder
-        self._log = rate_limited_log.RateLimitedLog(reactor, "quotas", LINES_PER_SECOND)
+        self._log = rate_limited_log.RateLimitedLog(reactor, "quotas", MAX_LOG_LINES_PER_SECOND)
         self._numbers = itertools.count(1)
         self._version = 0
         self._questions: dict[int, _Question] = {}
@@ -207,7 +207,7 @@
     def _ask_next(self, question: _Question) -> None:
         """Ask the best holder that wasn't asked yet."""
         now = self._reactor.seconds()
-        name = self._choose(question)
+        name = self._choose_holder(question)
         if name is None or now >= question.until:
             self._refuse_unsure(question)
             return
@@ -223,23 +223,23 @@
             del self._questions[question.number]
             self._ask_next(question)
             return
-        wait = min(ASK_SECONDS, question.until - now)
+        wait = min(ASK_TIMEOUT_SECONDS, question.until - now)
         question.timer = self._reactor.callLater(wait, self._on_timeout, question)
 
-    def _choose(self, question: _Question) -> str | None:
+    def _choose_holder(self, question: _Question) -> str | None:
         """Choose whom to ask: the holders of the own hall, then one of another hall.
 
         Otherwise a hall that lost all its holders at once would refuse everything until the list of
         instances no longer names them.
         """
-        if len(question.tried) < MOST_ASKS:
+        if len(question.tried) < MAX_ASKS:
             for name in self._ranks.holders(question.workspace):
                 if name not in question.tried:
                     return name
-        if question.asked_far:
+        if question.asked_remote:
             return None
-        question.asked_far = True
-        return self._ranks.any_foreign_holder(question.workspace)
+        question.asked_remote = True
+        return self._ranks.any_remote_holder(question.workspace)
 
     def _ask_own(self, question: _Question) -> None:
         """Ask the holder of this instance, without a message."""
@@ -284,8 +284,8 @@
         reason = found.reason.value
         self.counts[reason] += 1
         key = (question.workspace, reason)
-        if key not in self.refusals and len(self.refusals) >= MOST_NAMED:
-            key = (OTHERS, reason)
+        if key not in self.refusals and len(self.refusals) >= MAX_NAMED_WORKSPACES:
+            key = (OTHER_WORKSPACES, reason)
         self.refusals[key] = self.refusals.get(key, 0) + 1
         self._log.info(
             "quota_refused",
@@ -331,7 +331,7 @@
         now = self._reactor.seconds()
         is_awaited = question is not None and question.tried[-1] == link.hello.name
         is_granted = frame.decision is quota.Decision.GRANTED
-        if question is None or not is_awaited or now - question.sent_at > ASK_SECONDS:
+        if question is None or not is_awaited or now - question.sent_at > ASK_TIMEOUT_SECONDS:
             # Its caller has gone, or another holder was asked meanwhile.
             if is_granted:
                 link.send(node_frames.QuotaReturn(frame.number))
--- a/src/lineworks/forwarding/quota_ranks.py
+++ b/src/lineworks/forwarding/quota_ranks.py
@@ -15,7 +15,7 @@
     from lineworks.services import peer_links
 
 
-def by_hash(workspace: str, names: Iterable[str]) -> Sequence[str]:
+def rank_by_hash(workspace: str, names: Iterable[str]) -> Sequence[str]:
     """Rank instances for a workspace by rendezvous hashing.
 
     Args:
@@ -61,10 +61,10 @@
         self._lost_at: dict[str, float] = {}
         # Instances of the hall that were known at the last look, when that was, and since when all
         # of them are heard.
-        self._noted: set[str] = set()
-        self._noted_at = -math.inf
-        self._settled_since = math.inf
-        self.order: Callable[[str, Iterable[str]], Sequence[str]] = by_hash
+        self._last_known: set[str] = set()
+        self._updated_at = -math.inf
+        self._all_heard_since = math.inf
+        self.order: Callable[[str, Iterable[str]], Sequence[str]] = rank_by_hash
         """Ranks names of instances for a workspace, the best first."""
         self.is_leaving: Callable[[], bool] = lambda: False
         """Says whether this instance is about to stop."""
@@ -82,9 +82,9 @@
         able = set(self._peers.able(self._hall))
         if not able or not self.is_leaving():
             able.add(self._name)
-        return [name for name in self._first(workspace) if name in able]
+        return [name for name in self._candidates(workspace) if name in able]
 
-    def foreign_holder(self, workspace: str, hall: str) -> str | None:
+    def remote_holder(self, workspace: str, hall: str) -> str | None:
         """Choose whom to ask in another hall.
 
         Args:
@@ -95,9 +95,9 @@
             Its name; None when nobody there is heard of who may hold tokens.
         """
         able = set(self._peers.able(hall))
-        return next((name for name in self._first(workspace, hall) if name in able), None)
+        return next((name for name in self._candidates(workspace, hall) if name in able), None)
 
-    def any_foreign_holder(self, workspace: str) -> str | None:
+    def any_remote_holder(self, workspace: str) -> str | None:
         """Choose whom to ask in any other hall, when nobody in this one answers.
 
         Args:
@@ -109,7 +109,7 @@
         """
         halls = {link.hello.hall for link in self._links.up.values() if link.hello is not None}
         halls.discard(self._hall)
-        found = (self.foreign_holder(workspace, hall) for hall in self.order(workspace, halls))
+        found = (self.remote_holder(workspace, hall) for hall in self.order(workspace, halls))
         return next((name for name in found if name is not None), None)
 
     def may_hold(self, workspace: str) -> bool:
@@ -121,9 +121,9 @@
         Returns:
             Whether it is, by all instances that are known of the hall.
         """
-        return self._name in self._first(workspace)
+        return self._name in self._candidates(workspace)
 
-    def is_best(self, workspace: str) -> bool:
+    def ranks_first(self, workspace: str) -> bool:
         """Say whether this instance has the best rank of all that are known of the hall.
 
         Args:
@@ -132,9 +132,9 @@
         Returns:
             Whether it has.
         """
-        return self._name in self._first(workspace)[:1]
+        return self._name in self._candidates(workspace)[:1]
 
-    def note_hearing(self) -> None:
+    def update_liveness(self) -> None:
         """Note whether all instances that are known of the hall are heard.
 
         Called each `quota.CHECK_SECONDS`. A later call means that this process stood still, and
@@ -144,15 +144,15 @@
         known = self._known()
         others = known - {self._name}
         hears_all = all(self._silence(name) <= quota.LIVENESS_TIMEOUT_SECONDS for name in others)
-        stood_still = now - self._noted_at > quota.LIVENESS_TIMEOUT_SECONDS
+        was_suspended = now - self._updated_at > quota.LIVENESS_TIMEOUT_SECONDS
         if not hears_all:
-            self._settled_since = math.inf
-        elif known != self._noted or stood_still or math.isinf(self._settled_since):
-            self._settled_since = now
-        self._noted = known
-        self._noted_at = now
+            self._all_heard_since = math.inf
+        elif known != self._last_known or was_suspended or math.isinf(self._all_heard_since):
+            self._all_heard_since = now
+        self._last_known = known
+        self._updated_at = now
 
-    def acts_alone(self, workspace: str, seconds: float) -> bool:
+    def is_sole_holder(self, workspace: str, seconds: float) -> bool:
         """Say whether this instance alone has acted for its hall for some time.
 
         Args:
@@ -164,9 +164,9 @@
             none came or went.
         """
         now = self._reactor.seconds()
-        if self.is_leaving() or now - self._noted_at > quota.LIVENESS_TIMEOUT_SECONDS:
+        if self.is_leaving() or now - self._updated_at > quota.LIVENESS_TIMEOUT_SECONDS:
             return False
-        return now - self._settled_since >= seconds and self.is_best(workspace)
+        return now - self._all_heard_since >= seconds and self.ranks_first(workspace)
 
     def share(self, workspace: str) -> float:
         """Say how much of the hall's rate this instance earns for a workspace.
@@ -188,7 +188,7 @@
         heard = 1 + sum(self._silence(name) <= quota.LIVENESS_TIMEOUT_SECONDS for name in linked)
         return quota.earned_share(rank, silent, heard, len(known))
 
-    def _first(self, workspace: str, hall: str = "") -> Sequence[str]:
+    def _candidates(self, workspace: str, hall: str = "") -> Sequence[str]:
         """Name those that may hold tokens, the best first; nobody while no instance is known."""
         if not self._members() and not self._links.up:
             return ()
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -391,7 +391,7 @@
         shard = self._shards[index]
         if shard.running or shard.is_waiting:
             return
-        if shard.asks < extra_keeper.MOST_ASKS:
+        if shard.asks < extra_keeper.MAX_ASKS:
             shard.asks += 1
             shard.is_waiting = True
             on_reply = functools.partial(self._on_retry, index)
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -193,7 +193,7 @@
             shard.not_hedged = search_state.NotHedged.NO_BUDGET
             if self._shared.is_overspending(shard.service, now, self._workspace):
                 return None
-            if shard.asks < extra_keeper.MOST_ASKS or self._is_lacking:
+            if shard.asks < extra_keeper.MAX_ASKS or self._is_lacking:
                 self._lacking.append(shard.service)
             return None
         shard.is_hedged = True
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -251,7 +251,7 @@
         return shared.may_spend(self._service, now, workspace=self._call.workspace)
 
     def _may_ask(self) -> bool:
-        return self._asks < extra_keeper.MOST_ASKS
+        return self._asks < extra_keeper.MAX_ASKS
 
     def _ask_for_extra(self, on_reply: Callable[[], None]) -> None:
         self._asks += 1
--- a/src/lineworks/forwarding/suspect_exchange.py
+++ b/src/lineworks/forwarding/suspect_exchange.py
@@ -26,42 +26,42 @@
     from lineworks.services import peer_links
     from lineworks.wire import frames
 
-TELL_SECONDS = 0.02
+REPORT_BATCH_SECONDS = 0.02
 """Seconds for which more of the same is gathered for one message: what changes a judgement is told
 at once, and a caller's next try comes later than that."""
 
-WRITE_SECONDS = 0.3
+WRITE_BATCH_SECONDS = 0.3
 """Seconds for which news is gathered before it goes to the store: most suspects are cleared by
 their caller's next try before that."""
 
 RETRY_SECONDS = 1.0
 """Seconds between writes while the store fails."""
 
-MOST_WRITES = 32
+MAX_WRITE_BATCH = 32
 """Records of one write, as the store allows."""
 
-KEPT_SECONDS = 600.0
+LEASE_SECONDS = 600.0
 """Seconds after which the store drops a record: the longest lease that there is."""
 
 REFRESH_SECONDS = 300.0
 """Seconds after which a record that is still in use is written again."""
 
-LOOK_SECONDS = 1.0
+EXPIRY_CHECK_SECONDS = 1.0
 """Seconds between looks for records whose time has passed."""
 
-PROBED = 4
+MAX_PROBES = 4
 """Targets of one report that are asked whether they have ended: one more than it takes."""
 
-PROBE_SECONDS = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 """Seconds to wait for a connection to such a target; a host that is dark refuses none."""
 
 DUTY = "suspects"
 """What one instance of a hall does for all of them: it tells new links to other halls."""
 
-LINES_PER_SECOND = 20.0
+MAX_LOG_LINES_PER_SECOND = 20.0
 """Log lines a second of each kind: suspects, and requests that are refused."""
 
-MOST_NAMED = 4
+MAX_LOGGED_ENDS = 4
 """Ends that a log line names at most."""
 
 
@@ -94,18 +94,20 @@
         self._store = client
         self._book = book
         self._suspects = suspects.Suspects()
-        self._told: dict[str, suspects.Judgement] = {}
+        self._announced: dict[str, suspects.Judgement] = {}
         # Suspects that nobody else knows of: no end of a target is proven.
-        self._private: set[str] = set()
-        self._untold: dict[str, str] = {}
+        self._local_only: set[str] = set()
+        self._unannounced: dict[str, str] = {}
         self._unwritten: dict[str, suspects.Record] = {}
         self._written_at: dict[str, float] = {}
         self._is_writing = False
         self._writer = task.Task("suspects", self._write)
-        self._look: Any = None
+        self._expiry_timer: Any = None
         self._is_stopped = False
-        self._log = rate_limited_log.RateLimitedLog(reactor, "suspects", LINES_PER_SECOND)
-        self._refused_log = rate_limited_log.RateLimitedLog(reactor, "suspects", LINES_PER_SECOND)
+        self._log = rate_limited_log.RateLimitedLog(reactor, "suspects", MAX_LOG_LINES_PER_SECOND)
+        self._refused_log = rate_limited_log.RateLimitedLog(
+            reactor, "suspects", MAX_LOG_LINES_PER_SECOND
+        )
         self.counts: collections.Counter[str] = collections.Counter()
         """Requests refused and tried on one target, reports told and taken in, suspects cleared."""
         links.handle(node_frames.SuspectReports, self._on_reports)
@@ -135,8 +137,8 @@
         """Stop writing and looking."""
         self._is_stopped = True
         self._writer.stop()
-        if self._look is not None and self._look.active():
-            self._look.cancel()
+        if self._expiry_timer is not None and self._expiry_timer.active():
+            self._expiry_timer.cancel()
 
     def judge(self, content: str) -> suspects.Judgement:
         """Say what is to be done with a request.
@@ -156,7 +158,7 @@
 
     def on_store_return(self) -> None:
         """Write what all know again: the store came back from a copy that may lack it."""
-        if hall_peers.acts_for_hall(self._links, self._hall, self._name, DUTY):
+        if hall_peers.represents_hall(self._links, self._hall, self._name, DUTY):
             for record in self._shared():
                 self._write_soon(record)
 
@@ -196,8 +198,8 @@
         record = self._suspects.note_ends(content, targets, attempt, is_trial, now)
         if record is None:
             return
-        self._tell_if_proven(record)
-        for target in targets[-PROBED:]:
+        self._announce_if_proven(record)
+        for target in targets[-MAX_PROBES:]:
             self._probe(content, target, attempt)
 
     def note_answer(self, content: str) -> None:
@@ -209,11 +211,11 @@
         record = self._suspects.note_answer(content, self._reactor.seconds())
         if record is not None:
             self.counts["cleared"] += 1
-            if content in self._private:
-                self._private.discard(content)
-                self._note_news(record, "an answer")
+            if content in self._local_only:
+                self._local_only.discard(content)
+                self._note_change(record, "an answer")
             else:
-                self._tell(record, "an answer")
+                self._announce(record, "an answer")
 
     def note_gone(self, targets: Iterable[str]) -> None:
         """Note that targets are gone, by their entries: those that broke off have ended.
@@ -241,23 +243,23 @@
         record = self._suspects.lift(content, self._reactor.seconds())
         if record is None:
             return False
-        self._tell(record, "an operator")
+        self._announce(record, "an operator")
         return True
 
-    def _tell_if_proven(self, record: suspects.Record) -> None:
+    def _announce_if_proven(self, record: suspects.Record) -> None:
         """Tell of a suspect once a target has ended for certain, or it was tried as one.
 
         Targets that only lose answers break off under hundreds of requests at a time: told to all
         and cleared again each time, that was most of what 195 instances sent between regions.
         """
         content = record.content
-        is_known = content in self._told or record.proven
+        is_known = content in self._announced or record.proven
         if is_known or any(end.is_trial for end in record.ends):
-            self._private.discard(content)
-            self._tell(record, "an own request")
+            self._local_only.discard(content)
+            self._announce(record, "an own request")
         else:
-            self._private.add(content)
-            self._note_news(record, "an own request")
+            self._local_only.add(content)
+            self._note_change(record, "an own request")
 
     def on_changes(self, changes: Iterable[store_items.Change]) -> None:
         """Take in what the platform's store holds.
@@ -292,12 +294,12 @@
         if not shared:
             return
         is_near = hello.hall == self._hall
-        if is_near or hall_peers.acts_for_hall(self._links, self._hall, self._name, DUTY):
+        if is_near or hall_peers.represents_hall(self._links, self._hall, self._name, DUTY):
             self._send_to([hello.name], shared)
 
     def _shared(self) -> list[suspects.Record]:
         """List what others know as well."""
-        return [record for record in self.records if record.content not in self._private]
+        return [record for record in self.records if record.content not in self._local_only]
 
     def _on_reports(self, link: Any, frame: node_frames.SuspectReports) -> None:
         now = self._reactor.seconds()
@@ -307,47 +309,50 @@
                 continue
             self.counts["reports_taken_in"] += 1
             self._note_shared(record, link.hello.name)
-            if record.cleared_at is not None and self._told.pop(record.content, None) is not None:
+            if (
+                record.cleared_at is not None
+                and self._announced.pop(record.content, None) is not None
+            ):
                 # Reported by this instance, and cleared by another one.
                 self._broadcast((record,))
             cleared = self._suspects.clear_if_answered(found.content, now)
             if cleared is not None:
                 # Only whoever reported it is told, and tells the others: else all that know better
                 # would tell all.
-                self._note_news(cleared, "an answer")
+                self._note_change(cleared, "an answer")
                 link.send(node_frames.SuspectReports((cleared,)))
 
-    def _tell(self, record: suspects.Record, origin: str) -> None:
+    def _announce(self, record: suspects.Record, origin: str) -> None:
         """Tell the peers of what changes a judgement at once, of the rest soon; and the store.
 
         Each end and each proof told by itself took 16 messages to each instance for one search.
         """
         content = record.content
         judgement = record.judge(self._reactor.seconds())
-        if self._told.get(content) is not judgement:
-            self._told[content] = judgement
-            self._untold.pop(content, None)
-            self._note_news(record, origin)
+        if self._announced.get(content) is not judgement:
+            self._announced[content] = judgement
+            self._unannounced.pop(content, None)
+            self._note_change(record, origin)
             self._broadcast((record,))
         else:
-            if not self._untold:
-                self._reactor.callLater(TELL_SECONDS, self._tell_rest)
-            self._untold[content] = origin
+            if not self._unannounced:
+                self._reactor.callLater(REPORT_BATCH_SECONDS, self._announce_batch)
+            self._unannounced[content] = origin
         self._write_soon(record)
 
-    def _tell_rest(self) -> None:
-        untold, self._untold = self._untold, {}
+    def _announce_batch(self) -> None:
+        unannounced, self._unannounced = self._unannounced, {}
         held = self._suspects.records
-        news = [held[content] for content in untold if content in held]
+        news = [held[content] for content in unannounced if content in held]
         for record in news:
-            self._note_news(record, untold[record.content])
+            self._note_change(record, unannounced[record.content])
         if news:
             self._broadcast(news)
 
     def _note_shared(self, record: suspects.Record, origin: str) -> None:
         """Take note of what others know as well."""
-        self._private.discard(record.content)
-        self._note_news(record, origin)
+        self._local_only.discard(record.content)
+        self._note_change(record, origin)
 
     def _send_to(self, names: Sequence[str], records: Sequence[suspects.Record]) -> None:
         frame = node_frames.SuspectReports(tuple(records))
@@ -358,18 +363,18 @@
         self.counts["reports_told"] += len(records)
         self._links.broadcast(node_frames.SuspectReports(tuple(records)))
 
-    def _note_news(self, record: suspects.Record, origin: str) -> None:
+    def _note_change(self, record: suspects.Record, origin: str) -> None:
         now = self._reactor.seconds()
         self._written_at.setdefault(record.content, now)
-        if self._look is None and not self._is_stopped:
-            self._look = self._reactor.callLater(LOOK_SECONDS, self._expire)
+        if self._expiry_timer is None and not self._is_stopped:
+            self._expiry_timer = self._reactor.callLater(EXPIRY_CHECK_SECONDS, self._expire)
         is_cleared = record.cleared_at is not None
         self._log.info(
             "suspect_cleared" if is_cleared else "suspect",
             content=record.content,
             told_by=origin,
             judgement=record.judge(now).value,
-            ends=[_describe(end, now) for end in record.ends[-MOST_NAMED:]],
+            ends=[_describe(end, now) for end in record.ends[-MAX_LOGGED_ENDS:]],
             count=len(record.ends),
             proven=record.proven,
             trials=record.trials,
@@ -377,16 +382,16 @@
         )
 
     def _expire(self) -> None:
-        self._look = None
+        self._expiry_timer = None
         now = self._reactor.seconds()
         for record in self._suspects.expire(now):
             self._log.info("suspect_forgotten", content=record.content)
         held = self._suspects.records
         self._written_at = {key: at for key, at in self._written_at.items() if key in held}
-        self._told = {key: told for key, told in self._told.items() if key in held}
-        self._private.intersection_update(held)
+        self._announced = {key: told for key, told in self._announced.items() if key in held}
+        self._local_only.intersection_update(held)
         if held:
-            self._look = self._reactor.callLater(LOOK_SECONDS, self._expire)
+            self._expiry_timer = self._reactor.callLater(EXPIRY_CHECK_SECONDS, self._expire)
 
     def _probe(self, content: str, target: str, attempt: str) -> None:
         """Find out whether a target has ended, or only its connection."""
@@ -400,20 +405,20 @@
                 self._on_proven(content, target, attempt)
 
         found = state.replica.target
-        target_probe.probe(self._reactor, found.host, found.port, PROBE_SECONDS, on_result)
+        target_probe.probe(self._reactor, found.host, found.port, PROBE_TIMEOUT_SECONDS, on_result)
 
     def _on_proven(self, content: str, target: str, attempt: str) -> None:
         now = self._reactor.seconds()
         record = self._suspects.note_proven(content, target, attempt, now)
         if record is not None:
-            self._private.discard(content)
-            self._tell(record, "a target that ended")
+            self._local_only.discard(content)
+            self._announce(record, "a target that ended")
 
     def _write_soon(self, record: suspects.Record) -> None:
         self._unwritten[record.content] = record
-        self._plan_write(WRITE_SECONDS)
+        self._schedule_write(WRITE_BATCH_SECONDS)
 
-    def _plan_write(self, pause: float) -> None:
+    def _schedule_write(self, pause: float) -> None:
         if not self._is_writing and not self._is_stopped:
             self._is_writing = True
             self._reactor.callLater(pause, self._writer.start)
@@ -421,9 +426,9 @@
     async def _write(self) -> None:
         """Write what is new to the store; what fails is written later."""
         held = self._suspects.records
-        wanted = [content for content in self._unwritten if content in held][:MOST_WRITES]
+        wanted = [content for content in self._unwritten if content in held][:MAX_WRITE_BATCH]
         batch = {content: held[content] for content in wanted}
-        pause = WRITE_SECONDS
+        pause = WRITE_BATCH_SECONDS
         try:
             await self._put(batch)
         except store.StoreError as error:
@@ -434,12 +439,12 @@
         finally:
             self._is_writing = False
         if self._unwritten:
-            self._plan_write(pause)
+            self._schedule_write(pause)
 
     async def _put(self, batch: Mapping[str, suspects.Record]) -> None:
         if not batch:
             return
-        lease = await self._store.grant_lease(KEPT_SECONDS)
+        lease = await self._store.grant_lease(LEASE_SECONDS)
         await self._store.transact(
             store_items.Write(
                 suspect_documents.PREFIX + content, suspect_documents.encode(record), lease
--- a/tests/test_acting_together.py
+++ b/tests/test_acting_together.py
@@ -44,7 +44,7 @@
 
 def keeper_of(made, hall):
     names = [name for name in made.names if name.startswith(hall)]
-    (keeper,) = ownership.owners(extra_keeper.KEEPER, names, 1)
+    (keeper,) = ownership.owners(extra_keeper.KEEPER_HASH_KEY, names, 1)
     return keeper
 
 
@@ -135,7 +135,7 @@
     keeper = keeper_of(made, "akl")
     getattr(made.world.host_of(keeper), fault)()
     made.names.remove(keeper)
-    made.load(extra_keeper.ASK_SECONDS + extra_attempts.POOL_TTL_SECONDS)
+    made.load(extra_keeper.ASK_TIMEOUT_SECONDS + extra_attempts.POOL_TTL_SECONDS)
     others = [made.world.nodes[name] for name in made.names if name.startswith("akl")]
     before = granted(others)
     made.load(3.0)
--- a/tests/test_quota_deployment.py
+++ b/tests/test_quota_deployment.py
@@ -121,7 +121,7 @@
 def test_refusals_are_counted_for_a_bounded_number_of_workspaces(world, monkeypatch):
     from lineworks.forwarding import quota_keeper
 
-    monkeypatch.setattr(quota_keeper, "MOST_NAMED", 3)
+    monkeypatch.setattr(quota_keeper, "MAX_NAMED_WORKSPACES", 3)
     keeper = next(iter(world.nodes.values()))._quotas
     limit = workspaces.Quota(0.0, 0.0)
     many = [workspaces.Workspace(f"w{number}", quota=limit) for number in range(9)]
--- a/tests/test_quota_keeper.py
+++ b/tests/test_quota_keeper.py
@@ -211,7 +211,9 @@
     fleet.load(rates, 40.0)
     refused = sum(map(len, fleet.refused.values()))
     assert refused < 0.3 * sum(map(len, fleet.admitted.values()))
-    assert max(w for waits in fleet.waits.values() for w in waits) < quota_keeper.ASK_SECONDS
+    assert (
+        max(w for waits in fleet.waits.values() for w in waits) < quota_keeper.ASK_TIMEOUT_SECONDS
+    )
 
 
 @pytest.mark.parametrize("fault", ["kill", "freeze", "cut_off"])
@@ -224,10 +226,10 @@
     getattr(fleet, fault)(lost)
     for name in others[:3]:
         fleet.ask("w", name)
-        fleet.run(quota_keeper.ASK_SECONDS + 0.05)
+        fleet.run(quota_keeper.ASK_TIMEOUT_SECONDS + 0.05)
     assert len(fleet.admitted["w"]) + len(fleet.refused["w"]) == 4
     assert not fleet.refused["w"]
-    assert max(fleet.waits["w"]) < quota_keeper.ASK_SECONDS + 0.05
+    assert max(fleet.waits["w"]) < quota_keeper.ASK_TIMEOUT_SECONDS + 0.05
 
 
 def test_an_instance_that_hears_nobody_who_could_tell_refuses_as_not_run():
@@ -273,7 +275,7 @@
 def test_refused_callers_are_told_different_times_of_return():
     fleet = one_workspace()
     fleet.load({"w": 200.0}, 5.0)
-    assert max(fleet.retry_after) <= quota_holder.MOST_RETRY_AFTER
+    assert max(fleet.retry_after) <= quota_holder.MAX_RETRY_AFTER
     assert min(fleet.retry_after) > 0
     assert len({round(seconds, 2) for seconds in fleet.retry_after}) > 5
 
--- a/tests/test_quota_starts.py
+++ b/tests/test_quota_starts.py
@@ -54,7 +54,7 @@
 
 def first_of(world, hall):
     """Rank the instances of a hall that may hold the workspace's tokens."""
-    return world.nodes[f"{hall}-1"]._ranks._first("north")
+    return world.nodes[f"{hall}-1"]._ranks._candidates("north")
 
 
 def start_again(world, names, cut_off):
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -27,13 +27,13 @@
     """Looking at all links in each tick would take much of what a large fleet at rest costs."""
     world = _linked()
     lookups = collections.Counter()
-    acts_for_hall = hall_peers.acts_for_hall
+    represents_hall = hall_peers.represents_hall
 
     def count(links, hall, own, duty):
         lookups[own] += 1
-        return acts_for_hall(links, hall, own, duty)
+        return represents_hall(links, hall, own, duty)
 
-    monkeypatch.setattr(hall_peers, "acts_for_hall", count)
+    monkeypatch.setattr(hall_peers, "represents_hall", count)
     world.run(10.0)
     assert 0 < sum(lookups.values()) <= 3 * len(world.nodes) * 10
 
