--- a/src/lineworks/forwarding/extra_keeper.py
+++ b/src/lineworks/forwarding/extra_keeper.py
@@ -1,11 +1,11 @@
-"""Gathers the extra attempts of a data hall at one instance, which grants them where they are
-needed.
+"""Pools the credit for extra attempts of a data hall at one instance, the keeper.
 
 An instance that needs extra attempts asks the keeper of its hall: the instance that rendezvous
-hashing names among those it hears of. Whoever is asked acts as keeper: it collects the credit of
-the hall's instances and grants what there is. So no agreement is needed, and a keeper that is
-killed, cut off or frozen costs those that ask it `ASK_TIMEOUT_SECONDS` once. Why this never grants too much
-is told in `lineworks.decisions.extra_attempts`.
+hashing selects among those that are available. Any instance that is asked acts as keeper: it
+collects the credit of the hall's instances and grants what is available. This needs no agreement
+between instances, and a keeper that is killed, cut off or frozen costs each instance that asks it
+`ASK_TIMEOUT_SECONDS` once. See `lineworks.decisions.extra_attempts` for why this never grants too
+much.
 """
 
 from __future__ import annotations
@@ -28,30 +28,30 @@
     from lineworks.services import peer_links
 
 KEEPER_HASH_KEY = "extra attempts"
-"""What rendezvous hashing looks for."""
+"""Key that rendezvous hashing maps to an instance."""
 
 ASK_TIMEOUT_SECONDS = 0.06
-"""Seconds that an answer of the keeper is waited for; then it is passed over until it is heard of
-again. Two round trips in a hall and a collection take a few milliseconds, on a busy one some
-more."""
+"""Timeout in seconds for the keeper's answer. A keeper that times out is skipped until a message
+from it arrives. Two round trips within a hall and a collection take a few milliseconds, and
+somewhat longer in a busy hall."""
 
 MAX_ASKS = 2
-"""Times that an extra attempt is asked for, for one shard or single request: once more if the
-keeper did not answer."""
+"""Maximum number of times that an extra attempt is requested for one shard or single request: once
+more if the keeper did not answer."""
 
 MIN_PULL_INTERVAL_SECONDS = 0.25
-"""Seconds between collections at least: each one costs a message from and to every instance of the
+"""Minimum seconds between collections: each one costs a message to and from every instance of the
 hall."""
 
 PULL_TIMEOUT_SECONDS = 0.02
-"""Seconds that a collection waits for instances that do not answer."""
+"""Maximum seconds for which a collection waits for the instances' answers."""
 
 _log = structlog.get_logger(component="extra_keeper")
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Request:
-    """What an instance asks the keeper for."""
+    """Extra attempts that an instance requests: the services of its hedges and retries."""
 
     hedges: list[str]
     retries: list[str]
@@ -60,13 +60,13 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether something is still to be granted."""
+        """Whether part of the request has not been granted yet."""
         return bool(self.hedges or self.retries)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Pending:
-    """A request that another instance was asked with."""
+    """A request that was sent to another instance."""
 
     keeper: str
     sent_at: float
@@ -75,7 +75,7 @@
 
 
 class ExtraKeeper:
-    """Asks for extra attempts, and grants them to others."""
+    """Requests extra attempts from the keeper, and grants them to others if asked."""
 
     def __init__(
         self,
@@ -87,16 +87,17 @@
         extra: extra_attempts.ExtraAttempts,
         is_shared: bool = True,
     ) -> None:
-        """Start with nothing asked.
+        """Initialize the keeper without pending requests.
 
         Args:
-            reactor: Twisted's reactor.
+            reactor: Twisted reactor.
             name: Name of this instance.
-            hall: Its data hall.
+            hall: Data hall of this instance.
             links: Links to the other instances.
-            peers: Tells which of them can be asked.
-            extra: Extra attempts of this instance.
-            is_shared: Whether others are asked; otherwise this instance uses its own part only.
+            peers: Knows which instances are available.
+            extra: Credit and allowance for extra attempts of this instance.
+            is_shared: Whether credit is pooled within the hall; otherwise this instance uses its
+                own part only.
         """
         self._reactor = reactor
         self._name = name
@@ -111,13 +112,14 @@
         self._listeners: list[Callable[[], None]] = []
         self._pending: dict[int, _Pending] = {}
         self._keeper = ""
-        # The collection under way: who has not answered, and who waits for its end.
+        # The current collection: instances that have not answered, and requests that wait for its
+        # end.
         self._awaited: set[str] = set()
         self._waiting: list[_Request] = []
         self._pulls: dict[int, float] = {}
         self._pulled_at = -MIN_PULL_INTERVAL_SECONDS
         self.counts: collections.Counter[str] = collections.Counter()
-        """Requests, attempts granted and refused, requests without an answer, collections."""
+        """Counts of requests, granted and refused attempts, unanswered requests, collections."""
         links.handle(node_frames.ExtraAsk, self._on_ask)
         links.handle(node_frames.ExtraGrant, self._on_grant)
         links.handle(node_frames.CreditPull, self._on_pull)
@@ -125,14 +127,15 @@
         links.on_down.append(self._on_down)
 
     def ask(self, services: Sequence[str], is_hedge: bool, on_reply: Callable[[], None]) -> None:
-        """Ask for one extra attempt at each of some services.
+        """Request one extra attempt for each of the given services.
 
-        What is granted can be spent as soon as the answer is here.
+        Granted attempts can be spent from the time `on_reply` is called.
 
         Args:
-            services: The services. is_hedge: Whether they are for hedges, which leave a part for
-            retries. on_reply: Called once, never from inside this function, when an answer came or
-            none will.
+            services: Names of the services.
+            is_hedge: Whether the attempts are hedges, which leave a part of the credit for retries.
+            on_reply: Called once, never from within this function, when the answer has arrived or
+                will not arrive any more.
         """
         if not self._listeners:
             self._reactor.callLater(0, self._flush)
@@ -141,7 +144,7 @@
         self._listeners.append(on_reply)
 
     def _flush(self) -> None:
-        """Ask for all that was wanted in this turn of the event loop."""
+        """Send one request for all attempts requested in this iteration of the event loop."""
         listeners, self._listeners = self._listeners, []
         hedges, self._hedges = self._hedges, []
         retries, self._retries = self._retries, []
@@ -158,10 +161,10 @@
         self._serve(_Request(hedges, retries, reply))
 
     def choose(self) -> str:
-        """Choose the keeper among the hall's instances that are heard of.
+        """Return the keeper among the hall's available instances.
 
         Returns:
-            Its name; that of this instance if it is the one.
+            Name of the keeper, which may be this instance.
         """
         able = self._peers.able(self._hall) if self._is_shared else []
         (keeper,) = ownership.owners(KEEPER_HASH_KEY, [*able, self._name], 1)
@@ -186,7 +189,7 @@
         self._accept(pending.sent_at, pending.listeners, frame.services)
 
     def _on_timeout(self, number: int) -> None:
-        """Pass a keeper over that does not answer."""
+        """Mark a keeper that did not answer as silent."""
         pending = self._pending.pop(number)
         self.counts["unanswered"] += 1
         self._peers.distrust(pending.keeper)
@@ -208,7 +211,7 @@
         self._serve(_Request(list(frame.hedges), list(frame.retries), reply))
 
     def _serve(self, request: _Request) -> None:
-        """Grant what there is; collect the hall's credit first where that is due and needed."""
+        """Grant available credit; if it is insufficient, first collect the hall's credit if due."""
         now = self._reactor.seconds()
         self._grant(request, now)
         if request.is_open and now - self._pulled_at >= MIN_PULL_INTERVAL_SECONDS:
@@ -227,7 +230,7 @@
     def _grant_each(
         self, request: _Request, services: Sequence[str], now: float, reserved: float
     ) -> list[str]:
-        """Grant what there is, and tell what was wanted in vain."""
+        """Grant available credit, and return the services for which there was none."""
         refused = []
         for service in services:
             if self._extra.grant(service, now, reserved):
@@ -242,7 +245,7 @@
         request.reply(request.granted)
 
     def _pull(self, now: float) -> None:
-        """Collect the credit of the hall's instances, the own one at once."""
+        """Collect the credit of the hall's instances, that of this instance immediately."""
         self.counts["collections"] += 1
         self._pulled_at = now
         self._extra.deposit(self._extra.withdraw_earned(now), now, now)
@@ -271,7 +274,7 @@
             self._stop_awaiting(link.hello.name)
 
     def _stop_awaiting(self, peer: str) -> None:
-        """Note that nothing more is to be expected of an instance in this collection."""
+        """Stop waiting for an instance's answer in the current collection."""
         self._awaited.discard(peer)
         if not self._awaited:
             self._end_pull()
--- a/src/lineworks/forwarding/hall_peers.py
+++ b/src/lineworks/forwarding/hall_peers.py
@@ -1,4 +1,4 @@
-"""The linked instances of one's own data hall, and who among them acts for it."""
+"""Lists the linked instances of a data hall, and selects one of them to act for the hall."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 def names(links: peer_links.PeerLinks, hall: str) -> list[str]:
-    """List the linked instances of a hall.
+    """Return the linked instances of a hall.
 
     Args:
         links: Links to the other instances.
-        hall: The hall.
+        hall: Name of the hall.
 
     Returns:
-        Their names, without this instance's own.
+        Names of the instances, without this instance.
     """
     return [
         name
@@ -28,17 +28,17 @@
 
 
 def represents_hall(links: peer_links.PeerLinks, hall: str, own: str, duty: str) -> bool:
-    """Say whether this instance is the one of its hall that does something for all of them.
+    """Return whether this instance performs a duty on behalf of its hall.
 
-    Instances whose links differ may both say so for a while.
+    If the links of instances differ, several of them may perform the duty for a while.
 
     Args:
         links: Links to the other instances.
-        hall: Its hall.
-        own: Its name.
-        duty: What is done; each duty falls to another instance.
+        hall: Hall of this instance.
+        own: Name of this instance.
+        duty: Name of the duty. Different duties may fall to different instances.
 
     Returns:
-        Whether it ranks first among those that it is linked to.
+        True if rendezvous hashing ranks it first among itself and the instances linked to it.
     """
     return ownership.owners(duty, [*names(links, hall), own], 1)[0] == own
--- a/src/lineworks/forwarding/operator_answers.py
+++ b/src/lineworks/forwarding/operator_answers.py
@@ -1,6 +1,6 @@
-"""What the views that one instance shows operators share.
+"""Helpers for the views that an instance serves to operators.
 
-They are served beside the metrics, which only the instances' own network reaches.
+They are served on the metrics port, which is reachable only from the instances' own network.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 
 def path_of(request: server_connection.Request) -> bytes:
-    """Tell which view a request is for.
+    """Return the path of a request, which selects the view.
 
     Args:
-        request: The request.
+        request: HTTP request.
 
     Returns:
-        Its path, without the query.
+        The path without the query.
     """
     return request.target.partition(b"?")[0]
 
 
 def as_json(document: Mapping[str, Any], status: int = 200) -> server_connection.Answer:
-    """Answer an operator.
+    """Build a JSON response.
 
     Args:
-        document: What is shown.
-        status: Status of the answer.
+        document: Content of the response.
+        status: HTTP status.
 
     Returns:
-        The answer.
+        The response.
     """
     fields = [(b"Content-Type", b"application/json")]
     return server_connection.Answer(status, fields, json.dumps(document).encode())
--- a/src/lineworks/forwarding/placement_view.py
+++ b/src/lineworks/forwarding/placement_view.py
@@ -1,6 +1,7 @@
-"""Shows operators where one instance sends requests: home regions, evacuated halls, cold targets.
+"""Serves operators a view of where one instance sends requests.
 
-Served beside the metrics, which only the instances' own network reaches.
+It lists home regions, evacuated halls and cold targets. It is served on the metrics port, which is
+reachable only from the instances' own network.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
     age: float,
     now: float,
 ) -> server_connection.Answer:
-    """Answer an operator.
+    """Answer an operator's request for the view.
 
     Args:
-        table: The configuration in force, if there is one.
-        book: The targets.
-        evacuated: Data halls that get no new work.
-        age: Age of what is known of the targets, in seconds.
-        now: The present, in seconds.
+        table: Configuration in force; None before there is one.
+        book: State of all targets.
+        evacuated: Data halls that receive no new work.
+        age: Age of this instance's knowledge of the targets in seconds.
+        now: Current time in seconds.
 
     Returns:
         The view as JSON.
@@ -60,7 +61,7 @@
 
 
 def _homes(route: routes.Route, book: target_book.TargetBook) -> dict[str, Any]:
-    """Tell of one route with homes, and of its services that no target there can be asked for."""
+    """Describe a route with home regions, and its services without an available target there."""
     services = route.shards or tuple(part.service for part in route.split)
     lacking = [service for service in services if not book.has_any(service, route.homes)]
     return {
--- a/src/lineworks/forwarding/quota_holder.py
+++ b/src/lineworks/forwarding/quota_holder.py
@@ -1,9 +1,10 @@
-"""Holds the tokens of workspaces for a data hall, and moves them between halls.
+"""Holds the tokens of workspaces for a data hall, and transfers them between halls.
 
-A holder grants what it has. When it has none it asks the holders of the other halls at once, and a
-request waits for their answers for a moment; when its tokens run low and requests come faster than
-it earns it asks ahead. A pull that brought nothing is followed by a pause, longer each time, so a
-workspace that is over its limit everywhere causes few messages.
+A holder grants the tokens that it has. When it has none, it immediately pulls tokens from the
+holders of the other halls, and requests wait up to `PULL_TIMEOUT_SECONDS` for them. When tokens run
+low and requests arrive faster than tokens are earned, it pulls in advance. A pull that yields too
+little is followed by an exponential backoff, so a workspace that is over its limit everywhere
+causes few messages.
 """
 
 from __future__ import annotations
@@ -25,110 +26,115 @@
     from lineworks.services import peer_links
 
 PULL_TIMEOUT_SECONDS = 0.045
-"""Seconds that a request waits for tokens of other halls: two round trips between regions."""
+"""Maximum seconds for which a request waits for tokens from other halls: two round trips between
+regions."""
 
 MIN_PULL_BACKOFF_SECONDS = 0.1
-"""Seconds after a pull that brought too little before the next one."""
+"""Initial backoff in seconds after a pull that yielded too little."""
 
 PREFETCH_BACKOFF_SECONDS = 0.25
-"""Seconds before tokens are asked for ahead of need again, where there were too few."""
+"""Seconds until tokens are pulled in advance again after a pull that left too few. A hall that
+refused a request less than this long ago gives none to other halls."""
 
 MAX_PULL_BACKOFF_SECONDS = 2.0
-"""Seconds to which that pause grows while pulls go on bringing too little."""
+"""Maximum backoff in seconds while pulls keep yielding too little."""
 
 MIN_PULLED_TOKENS = 0.1
-"""Tokens that a pull must have brought to be repeated at once."""
+"""Minimum number of tokens that a pull must have yielded to be continued with another round."""
 
 MAX_PULL_ROUNDS = 3
-"""Times that halls are asked in one pull."""
+"""Maximum number of rounds of messages per pull."""
 
 IDLE_AFTER_SECONDS = 1.0
-"""Seconds without a request after which a hall gives another one all that it asks for."""
+"""Seconds without a request after which a hall gives another hall all the tokens it asks for,
+instead of at most half of its own."""
 
 PULL_OVERREQUEST_FACTOR = 2.0
-"""Multiple of an equal part of what is wanted that each hall is asked for: some have less."""
+"""Factor by which the amount requested from each hall exceeds an equal share of the tokens needed,
+because some halls have fewer."""
 
 MAX_RETRY_AFTER = 2.0
-"""Seconds that a refused caller is told to wait at most."""
+"""Maximum number of seconds that a refused caller is told to wait."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What a holder says to a request."""
+    """A holder's response to a request for a token."""
 
     decision: quota.Decision
-    """What it is."""
+    """The decision."""
 
     retry_after: float = 0.0
-    """Seconds after which the caller may ask again, where there is no token."""
+    """Seconds after which the caller may retry, if no token is available."""
 
     granted_at: float = 0.0
-    """When it was granted, in seconds on the holder's clock."""
+    """Time in seconds on the holder's clock at which the token was granted."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Waiter:
-    """A request that waits for tokens of other halls."""
+    """A request that waits for tokens from other halls."""
 
     reply: Callable[[Answer], None]
-    """Takes the answer, once."""
+    """Called once with the answer."""
 
     until: float
-    """Until when it waits, in seconds."""
+    """Time in seconds until which it waits."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _WorkspaceTokens:
-    """The tokens of one workspace."""
+    """The tokens of one workspace, and the state of its pulls."""
 
     bucket: quota.Bucket
-    """The tokens."""
+    """The hall's token bucket."""
 
     limit: workspaces.Quota
-    """The limit of the workspace, for all instances together."""
+    """The workspace's limit for all instances together."""
 
     acted_at: float
-    """When a front or another hall asked for tokens last, in seconds."""
+    """Time in seconds of the last request for tokens, from a front or another hall."""
 
     rate: quota.RequestRate = dataclasses.field(default_factory=quota.RequestRate)
-    """How often fronts ask."""
+    """Rate of the requests from fronts."""
 
     waiting: list[_Waiter] = dataclasses.field(default_factory=list)
-    """Requests that wait, the first one first."""
+    """Waiting requests, the oldest first."""
 
     asked_at: float = -math.inf
-    """When a front asked last, in seconds."""
+    """Time in seconds of the last request from a front."""
 
     refused_at: float = -math.inf
-    """When a request was refused last, in seconds."""
+    """Time in seconds of the last refusal."""
 
     next_token_at: float = -math.inf
-    """When the next token is free that no refused caller was told of yet, in seconds."""
+    """Time in seconds at which the last refused caller was told to retry. The next one is told a
+    later time, so that each refused caller waits for a token of its own."""
 
     awaited: set[str] = dataclasses.field(default_factory=set)
-    """Instances that haven't answered the pull under way; empty where there is none."""
+    """Instances that have not answered the current pull; empty if none is in progress."""
 
     pull: int = 0
-    """Number of the latest message of the latest pull."""
+    """Message number of the latest round of the latest pull."""
 
     received: float = 0.0
-    """Tokens that the latest pull brought so far."""
+    """Number of tokens that the latest pull has yielded so far."""
 
     rounds: int = 0
-    """Times that halls were asked in the latest pull."""
+    """Number of rounds of the latest pull so far."""
 
     backoff: float = MIN_PULL_BACKOFF_SECONDS
-    """Seconds without pulls after the next one that brings too little."""
+    """Backoff in seconds after the next pull that yields too little."""
 
     may_pull_at: float = -math.inf
-    """When other halls may be asked again, in seconds."""
+    """Time in seconds from which the next pull is allowed."""
 
     may_prefetch_at: float = -math.inf
-    """The same where no request waits."""
+    """Time in seconds from which the next pull in advance of need is allowed."""
 
 
 class QuotaHolder:
-    """The tokens that this instance holds."""
+    """Holds tokens at this instance, and grants them to fronts and other halls."""
 
     def __init__(
         self,
@@ -139,15 +145,15 @@
         ranks: quota_ranks.QuotaRanks,
         bound: quota.QuotaBound,
     ) -> None:
-        """Start without tokens.
+        """Initialize the holder without tokens.
 
         Args:
-            reactor: Twisted's reactor.
+            reactor: Twisted reactor.
             hall: Data hall of this instance.
             halls: All data halls.
             links: Links to the other instances.
-            ranks: Tells who holds tokens.
-            bound: What all instances together may let through beyond a quota.
+            ranks: Ranks the instances that may hold tokens.
+            bound: How far all instances together may exceed a quota.
         """
         self._reactor = reactor
         self._hall = hall
@@ -155,7 +161,8 @@
         self._links = links
         self._ranks = ranks
         self._bound = bound
-        # Seconds for which nobody else of the hall must have acted.
+        # Seconds for which no other instance of the hall may have held tokens, so that a new bucket
+        # can start full: the window, and the longest time a token can be in transit.
         self._sole_after = bound.window + quota.MAX_TRANSIT_SECONDS
         self._limits: dict[str, workspaces.Quota] = {}
         self._version = -1
@@ -164,7 +171,7 @@
         self._pulls: dict[int, tuple[str, float]] = {}
         self._timer: Any = None
         self.counts: collections.Counter[str] = collections.Counter()
-        """Tokens granted and refused, pulls, and those that brought too little."""
+        """Counts of granted and refused requests, pulls, and pulls that yielded too little."""
         links.handle(node_frames.QuotaPull, self._on_pull)
         links.handle(node_frames.QuotaShare, self._on_share)
         links.on_down.append(self._on_down)
@@ -175,20 +182,20 @@
         return self._limits
 
     def held(self) -> dict[str, float]:
-        """Tell what this instance holds.
+        """Return the tokens that this instance holds.
 
         Returns:
-            Tokens by workspace.
+            Number of tokens by workspace, possibly fractional.
         """
         now = self._reactor.seconds()
         return {name: held.bucket.tokens(now) for name, held in self._held.items()}
 
     def set_limits(self, limits: Mapping[str, workspaces.Quota], version: int = 0) -> None:
-        """Put limits in force. Tokens of workspaces that are gone are kept for a window.
+        """Apply new limits. The tokens of removed workspaces are kept for a window.
 
         Args:
             limits: Limits by workspace.
-            version: Version of their configuration.
+            version: Version of the configuration that they are from.
         """
         self._limits = dict(limits)
         self._version = version
@@ -204,15 +211,15 @@
     def ask(
         self, workspace: str, version: int, reply: Callable[[Answer], None]
     ) -> Callable[[], None] | None:
-        """Ask for a token.
+        """Request a token.
 
         Args:
             workspace: Name of the workspace.
-            version: Version of the configuration by which it has a limit.
-            reply: Takes the answer, once; it may be called before this function returns.
+            version: Version of the asker's configuration, by which the workspace has a limit.
+            reply: Called once with the answer, possibly before this function returns.
 
         Returns:
-            A function that withdraws the question; None when it is answered.
+            A function that withdraws the request; None if it has already been answered.
         """
         if workspace not in self._limits:
             reply(Answer(self._decide_without_limit(version)))
@@ -227,7 +234,7 @@
         held.rate.note(now)
         if not held.waiting and held.bucket.take(now):
             self._grant(reply, now)
-            # A first request after a quiet time says nothing of when the next one comes.
+            # The first request after an idle time does not predict when the next one arrives.
             if rate > 0:
                 self._prefetch(workspace, held, now)
             return None
@@ -246,10 +253,10 @@
         return withdraw if waiter in held.waiting else None
 
     def _decide_without_limit(self, version: int) -> quota.Decision:
-        """Decide on a workspace that has no limit by the configuration in force here.
+        """Decide on a workspace that has no limit in the configuration in force here.
 
-        Only a newer configuration than the one asked by says that it has none any more. An instance
-        that has just started knows none at all.
+        Only a configuration newer than the asker's shows that the limit was removed. An instance
+        that has just started has no configuration yet, and so no limits either.
         """
         if self._version <= version:
             self.counts["limit_unknown"] += 1
@@ -258,11 +265,11 @@
         return quota.Decision.GRANTED
 
     def put_back(self, workspace: str, granted_at: float) -> None:
-        """Take back the token of a request that certainly did not run.
+        """Return the token of a request that certainly did not run.
 
         Args:
             workspace: Name of the workspace.
-            granted_at: When it was granted, in seconds.
+            granted_at: Time in seconds at which the token was granted.
         """
         now = self._reactor.seconds()
         held = self._held.get(workspace)
@@ -270,17 +277,20 @@
             self.counts["returned"] += 1
 
     def _own_part(self, workspace: str, limit: workspaces.Quota) -> quota.Part:
-        """Tell what this hall has of a quota."""
+        """Return this hall's part of a quota."""
         part, halls = self._divide(workspace, limit)
         return part if self._hall in halls else quota.NO_PART
 
     def _divide(self, workspace: str, limit: workspaces.Quota) -> tuple[quota.Part, Sequence[str]]:
-        """Tell what a hall has of a quota, and which halls have it."""
+        """Return the part of a quota per hall, and the halls that have such a part."""
         part = quota.part_of(limit, self._bound, len(self._halls))
         return part, quota_ranks.rank_by_hash(workspace, self._halls)[: part.holders]
 
     def _find(self, workspace: str) -> _WorkspaceTokens | None:
-        """Find the tokens of a workspace, or begin to hold them."""
+        """Return the tokens of a workspace, creating its bucket if needed.
+
+        Returns None if this instance may not hold them.
+        """
         if not self._ranks.may_hold(workspace):
             return None
         held = self._held.get(workspace)
@@ -298,7 +308,7 @@
         return held
 
     def _update(self) -> None:
-        """Look who is heard of, and forget what was not used for a window."""
+        """Update liveness and shares, and drop buckets that were not used for a window."""
         self._timer = self._reactor.callLater(quota.CHECK_SECONDS, self._update)
         now = self._reactor.seconds()
         self._ranks.update_liveness()
@@ -318,45 +328,46 @@
         reply(Answer(quota.Decision.GRANTED, granted_at=now))
 
     def _refuse(self, held: _WorkspaceTokens, reply: Callable[[Answer], None], now: float) -> None:
-        """Refuse, and tell when there is a token that no caller was told of yet."""
+        """Refuse a request, with a retry time that no other caller was told yet."""
         self.counts["refused"] += 1
         held.refused_at = now
         interval = 1 / held.limit.rate if held.limit.rate > 0 else MAX_RETRY_AFTER
         held.next_token_at = max(held.next_token_at, now) + interval
         if held.next_token_at > now + MAX_RETRY_AFTER:
-            # Begin again with the next token, so that what callers are told stays spread.
+            # Start over at the next token, so that retry times stay spread out.
             held.next_token_at = now + min(interval, MAX_RETRY_AFTER)
         reply(Answer(quota.Decision.EXHAUSTED, held.next_token_at - now))
 
     def _prefetch(self, workspace: str, held: _WorkspaceTokens, now: float) -> None:
-        """Ask for tokens before they are needed."""
+        """Pull tokens in advance if they are running low."""
         may_pull_at = max(held.may_pull_at, held.may_prefetch_at)
         if not held.awaited and now >= may_pull_at and self._is_running_low(held, now):
             self._pull(workspace, held, now)
 
     def _is_running_low(self, held: _WorkspaceTokens, now: float) -> bool:
-        """Say whether requests come faster than the next token, so that one would have to wait."""
+        """Return True if the next request is expected before the next token is earned."""
         if held.bucket.part is quota.NO_PART:
-            # What is asked for ahead of need could not be kept.
+            # The hall's bucket has no capacity to keep tokens that are pulled in advance.
             return False
         return held.bucket.seconds_until_next(now) * held.rate.value(now) > 1
 
     def _pull(self, workspace: str, held: _WorkspaceTokens, now: float) -> None:
-        """Ask the other halls for tokens."""
+        """Start to pull tokens from the other halls."""
         self.counts["pulls"] += 1
         held.received = 0.0
         held.rounds = 0
         self._ask_halls(workspace, held, now)
 
     def _ask_halls(self, workspace: str, held: _WorkspaceTokens, now: float) -> None:
-        """Ask each hall for a part of what is lacking."""
+        """Start a round of a pull: request a part of the missing tokens from each hall."""
         _, halls = self._divide(workspace, held.limit)
         others = [hall for hall in halls if hall != self._hall]
         asked = [self._ranks.remote_holder(workspace, hall) for hall in others]
         names = [name for name in asked if name is not None]
         rate = held.rate.value(now)
         wanted = quota.wanted(held.bucket.tokens(now), len(held.waiting), rate)
-        # Asked once more, halls have less than was thought: each one gives what it can.
+        # After the first round, some halls have had less than expected: request the whole amount
+        # from each.
         each = (
             wanted
             if held.rounds
@@ -375,14 +386,14 @@
         self._reactor.callLater(wait, self._on_pull_timeout, workspace, held, held.pull)
 
     def _on_pull_timeout(self, workspace: str, held: _WorkspaceTokens, number: int) -> None:
-        """Go on without the halls that did not answer in time."""
+        """End a round without the halls that did not answer in time."""
         if held.pull == number and held.awaited:
             self.counts["unanswered"] += len(held.awaited)
             held.awaited.clear()
             self._end_round(workspace, held, self._reactor.seconds())
 
     def _end_round(self, workspace: str, held: _WorkspaceTokens, now: float) -> None:
-        """Ask more halls where that is needed and of use, or refuse those that still wait."""
+        """Start another round if needed and worthwhile, or refuse the requests still waiting."""
         self._serve_waiting(held, now)
         has_time = all(waiter.until > now for waiter in held.waiting)
         is_worthwhile = held.received >= MIN_PULLED_TOKENS and held.rounds < MAX_PULL_ROUNDS
@@ -402,7 +413,7 @@
             self._refuse(held, waiter.reply, now)
 
     def _serve_waiting(self, held: _WorkspaceTokens, now: float) -> None:
-        """Grant tokens to those that wait, as far as there are any."""
+        """Grant available tokens to waiting requests, the oldest first."""
         while held.waiting and held.bucket.take(now):
             self._grant(held.waiting.pop(0).reply, now)
 
@@ -411,7 +422,7 @@
         link.send(node_frames.QuotaShare(frame.number, amount))
 
     def _transfer_out(self, workspace: str, amount: float, hall: str) -> float:
-        """Take tokens for another hall out of those held here, unless this hall lacks some."""
+        """Remove tokens for another hall, unless this hall is short of them itself."""
         held = self._find(workspace) if workspace in self._limits else None
         now = self._reactor.seconds()
         if held is None or held.waiting or now - held.refused_at < PREFETCH_BACKOFF_SECONDS:
@@ -424,7 +435,7 @@
         return held.bucket.transfer_out(now, amount, 1.0 if is_quiet else 0.5)
 
     def _on_share(self, link: Any, frame: node_frames.QuotaShare) -> None:
-        """Take in tokens; those of an earlier pull count as well."""
+        """Add tokens from another hall, also those of an earlier pull."""
         workspace, asked_at = self._pulls.get(frame.number, ("", 0.0))
         held = self._held.get(workspace)
         if held is None:
--- a/src/lineworks/forwarding/quota_keeper.py
+++ b/src/lineworks/forwarding/quota_keeper.py
@@ -1,8 +1,8 @@
-"""Asks whether a request is within the quota of its workspace.
+"""Checks whether a request is within the quota of its workspace.
 
 The tokens of a workspace are held by one instance of each data hall (`quota_holder`). An instance
-asks the one of its own hall; where that doesn't answer it asks the next by rank, then holders of
-other halls.
+requests a token from the holder of its own hall. If that one does not answer, it tries the next one
+by rank, and finally a holder of another hall.
 """
 
 from __future__ import annotations
@@ -26,29 +26,28 @@
     from lineworks.services import peer_links
 
 ASK_TIMEOUT_SECONDS = quota.GRANT_TTL_SECONDS
-"""Seconds that an answer of a holder is waited for; then the holder is passed over until it is
-heard of again. It may wait for other halls meanwhile (`quota_holder.PULL_TIMEOUT_SECONDS`)."""
+"""Timeout in seconds for a holder's answer. A holder that times out is skipped until a message from
+it arrives. The holder itself may wait for other halls (`quota_holder.PULL_TIMEOUT_SECONDS`)."""
 
 MAX_ASKS = 2
-"""Holders of the own hall that are asked for one request at most; one of another hall is asked
-besides."""
+"""Maximum number of holders in this instance's hall that are asked per request. One in another hall
+may be asked in addition."""
 
 UNSURE_RETRY_AFTER = 0.1
-"""Seconds after which a caller may ask again where no holder answered: another instance may hear
-one."""
+"""Seconds after which a caller may retry if no holder answered: another instance may reach one."""
 
 MAX_NAMED_WORKSPACES = 200
-"""Workspaces whose refusals are counted apart; the rest together."""
+"""Maximum number of workspaces and reasons for which refusals are counted separately."""
 
 OTHER_WORKSPACES = "(others)"
-"""Name under which the refusals of the rest are counted."""
+"""Name under which the refusals of all other workspaces are counted."""
 
 MAX_LOG_LINES_PER_SECOND = 5.0
-"""Log lines a second for refusals."""
+"""Maximum number of log lines per second for refusals."""
 
 
 def _give_nothing_back() -> None:
-    """Do nothing, because there is no token to give back."""
+    """Do nothing, because there is no token to return."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -56,48 +55,48 @@
     """Whether a request may be sent to targets."""
 
     refusal: verdict.Verdict | None = None
-    """Why not; None where it may."""
+    """Reason why it may not; None if it may."""
 
     retry_after: float = 0.0
-    """Seconds after which its caller may ask again, where it may not."""
+    """Seconds after which its caller may retry, if it was refused."""
 
     give_back: Callable[[], None] = _give_nothing_back
-    """Gives its place to another request, where it was admitted and certainly did not run."""
+    """Returns the token of a request that was admitted and certainly did not run."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Question:
-    """A request whose token is being asked for."""
+    """A request that waits for a holder's decision."""
 
     workspace: str
     """Name of its workspace."""
 
     on_end: Callable[[Admission], None]
-    """Takes the answer, once."""
+    """Called once with the decision."""
 
     until: float
-    """Time by which the answer is of use, in seconds."""
+    """Time in seconds after which the decision is useless."""
 
     tried: list[str] = dataclasses.field(default_factory=list)
-    """Holders that were asked, the latest one last."""
+    """Holders that were asked so far, the latest one last."""
 
     number: int = 0
-    """Number of the latest `QuotaAsk`; 0 before the first."""
+    """Number of the latest `QuotaAsk` message; 0 before the first."""
 
     sent_at: float = 0.0
-    """When a holder was asked last, in seconds."""
+    """Time in seconds at which the latest holder was asked."""
 
     timer: Any = None
-    """Runs while another instance is asked."""
+    """Timeout for the answer of another instance."""
 
     withdraw_own: Callable[[], None] | None = None
-    """Withdraws the question while this instance's own holder has it."""
+    """Withdraws the request while the holder of this instance is deciding."""
 
     asked_remote: bool = False
-    """Whether a holder of another hall was asked."""
+    """Whether another hall was tried."""
 
     is_over: bool = False
-    """Whether it is answered or withdrawn."""
+    """Whether it was decided or withdrawn."""
 
 
 class QuotaKeeper:
@@ -112,15 +111,15 @@
         ranks: quota_ranks.QuotaRanks,
         holder: quota_holder.QuotaHolder,
     ) -> None:
-        """Start with nothing asked.
+        """Initialize the keeper without pending requests.
 
         Args:
-            reactor: Twisted's reactor.
+            reactor: Twisted reactor.
             name: Name of this instance.
             links: Links to the other instances.
-            peers: Takes note of those that do not answer.
-            ranks: Tells who holds tokens.
-            holder: The tokens that this instance holds.
+            peers: Tracks the instances that do not answer.
+            ranks: Ranks the instances that may hold tokens.
+            holder: Holds tokens at this instance.
         """
         self._reactor = reactor
         self._name = name
@@ -132,14 +131,14 @@
         self._numbers = itertools.count(1)
         self._version = 0
         self._questions: dict[int, _Question] = {}
-        # What others were granted lately: workspace and time in seconds by (process, number).
+        # Recent grants to other instances: workspace and time in seconds by (process, number).
         self._grants: collections.OrderedDict[tuple[str, int], tuple[str, float]] = (
             collections.OrderedDict()
         )
         self.counts: collections.Counter[str] = collections.Counter()
-        """Requests asked for, admitted and refused, and holders without an answer."""
+        """Counts of checked, admitted and refused requests, and of unanswered ones to holders."""
         self.refusals: dict[tuple[str, str], int] = {}
-        """Refused requests by workspace and reason."""
+        """Number of refused requests by workspace and reason."""
         links.handle(node_frames.QuotaAsk, self._on_ask)
         links.handle(node_frames.QuotaGrant, self._on_grant)
         links.handle(node_frames.QuotaReturn, self._on_return)
@@ -147,25 +146,25 @@
 
     @property
     def holder(self) -> quota_holder.QuotaHolder:
-        """The tokens that this instance holds."""
+        """Holds tokens at this instance."""
         return self._holder
 
     @property
     def ranks(self) -> quota_ranks.QuotaRanks:
-        """Tells who holds tokens."""
+        """Ranks the instances that may hold tokens."""
         return self._ranks
 
     @property
     def lines_left_out(self) -> int:
-        """Log lines that were left out."""
+        """Number of log lines that were suppressed."""
         return self._log.suppressed_total
 
     def set_workspaces(self, listed: Iterable[workspaces.Workspace], version: int = 0) -> None:
-        """Put the limits of a configuration in force.
+        """Apply the limits of a configuration.
 
         Args:
-            listed: Its workspaces.
-            version: Its version.
+            listed: Workspaces of the configuration.
+            version: Version of the configuration.
         """
         self._version = version
         limits = {one.name: one.quota for one in listed if one.quota is not None}
@@ -177,16 +176,16 @@
         on_end: Callable[[Admission], None],
         deadline: float = math.inf,
     ) -> Callable[[], None] | None:
-        """Ask for a request's place.
+        """Decide whether a request may be sent to targets.
 
         Args:
-            workspace: Whose request it is.
-            on_end: Takes the answer, once; it may be called before this function returns.
-            deadline: Time by which the answer is of use, in seconds.
+            workspace: Workspace of the request.
+            on_end: Called once with the decision, possibly before this function returns.
+            deadline: Time in seconds after which the decision is useless.
 
         Returns:
-            A function that withdraws the question, because the caller has gone; None when the
-            answer is known already.
+            A function that withdraws the request when its caller disconnects; None if it has
+            already been decided.
         """
         if workspace.quota is None:
             on_end(Admission())
@@ -205,7 +204,7 @@
         return withdraw
 
     def _ask_next(self, question: _Question) -> None:
-        """Ask the best holder that wasn't asked yet."""
+        """Ask the highest-ranked holder that has not been asked yet."""
         now = self._reactor.seconds()
         name = self._choose_holder(question)
         if name is None or now >= question.until:
@@ -227,10 +226,10 @@
         question.timer = self._reactor.callLater(wait, self._on_timeout, question)
 
     def _choose_holder(self, question: _Question) -> str | None:
-        """Choose whom to ask: the holders of the own hall, then one of another hall.
+        """Return the next holder to ask: those of this hall, then one of another hall.
 
-        Otherwise a hall that lost all its holders at once would refuse everything until the list of
-        instances no longer names them.
+        Without the latter, a hall that lost all its holders at once would refuse every request
+        until they are removed from the membership list.
         """
         if len(question.tried) < MAX_ASKS:
             for name in self._ranks.holders(question.workspace):
@@ -242,7 +241,7 @@
         return self._ranks.any_remote_holder(question.workspace)
 
     def _ask_own(self, question: _Question) -> None:
-        """Ask the holder of this instance, without a message."""
+        """Ask the holder of this instance directly, without a message."""
 
         def reply(answer: quota_holder.Answer) -> None:
             question.withdraw_own = None
@@ -259,7 +258,7 @@
     def _take_answer(
         self, question: _Question, answer: quota_holder.Answer, give_back: Callable[[], None]
     ) -> None:
-        """Act on what a holder says; `give_back` returns a token that it granted."""
+        """Handle a holder's answer; `give_back` returns the token that it granted."""
         if answer.decision is quota.Decision.UNSURE:
             self.counts["not_held"] += 1
             self._ask_next(question)
@@ -301,7 +300,7 @@
         question.on_end(admission)
 
     def _close(self, question: _Question) -> None:
-        """Expect no answer any more."""
+        """Stop waiting for a decision."""
         question.is_over = True
         self._questions.pop(question.number, None)
         if question.timer is not None and question.timer.active():
@@ -311,14 +310,14 @@
             question.withdraw_own = None
 
     def _on_timeout(self, question: _Question) -> None:
-        """Pass a holder over that does not answer."""
+        """Mark a holder that did not answer as silent, and ask the next one."""
         self.counts["unanswered"] += 1
         del self._questions[question.number]
         self._peers.distrust(question.tried[-1])
         self._ask_next(question)
 
     def _on_down(self, name: str) -> None:
-        """Ask the next holder what a lost one was asked."""
+        """Ask the next holder about the requests that an unreachable one was deciding."""
         lost = [one for one in self._questions.values() if one.tried[-1] == name]
         for question in lost:
             if not question.is_over:
@@ -332,7 +331,7 @@
         is_awaited = question is not None and question.tried[-1] == link.hello.name
         is_granted = frame.decision is quota.Decision.GRANTED
         if question is None or not is_awaited or now - question.sent_at > ASK_TIMEOUT_SECONDS:
-            # Its caller has gone, or another holder was asked meanwhile.
+            # The caller disconnected, the answer is late, or another holder has been asked since.
             if is_granted:
                 link.send(node_frames.QuotaReturn(frame.number))
             return
@@ -354,7 +353,7 @@
         self._holder.ask(frame.workspace, frame.version, reply)
 
     def _note_grant(self, key: tuple[str, int], workspace: str, now: float) -> None:
-        """Remember a grant for as long as its token can be given back."""
+        """Remember a grant for as long as its token can be returned."""
         self._grants[key] = (workspace, now)
         while self._grants:
             oldest = next(iter(self._grants))
--- a/src/lineworks/forwarding/quota_ranks.py
+++ b/src/lineworks/forwarding/quota_ranks.py
@@ -1,4 +1,4 @@
-"""Which instance of a data hall holds a workspace's tokens, and how much of the rate it earns."""
+"""Decides which instance of a data hall holds a workspace's tokens, and its share of the rate."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 def rank_by_hash(workspace: str, names: Iterable[str]) -> Sequence[str]:
-    """Rank instances for a workspace by rendezvous hashing.
+    """Rank instances or halls for a workspace by rendezvous hashing.
 
     Args:
         workspace: Name of the workspace.
-        names: Names of the instances.
+        names: Names of the instances or halls.
 
     Returns:
-        The names, the best first.
+        The names, the highest-ranked first.
     """
     listed = list(names)
     return ownership.owners(f"quota {workspace}", listed, len(listed))
 
 
 class QuotaRanks:
-    """Ranks the instances of halls for workspaces, by what this instance knows."""
+    """Ranks the instances of each hall for each workspace, as far as this instance knows them."""
 
     def __init__(
         self,
@@ -41,15 +41,15 @@
         peers: gatherers.Gatherers,
         members: Callable[[], Collection[member.Member]],
     ) -> None:
-        """Start with nobody lost.
+        """Initialize the ranks without lost instances.
 
         Args:
-            reactor: Twisted's reactor.
+            reactor: Twisted reactor.
             name: Name of this instance.
-            hall: Its data hall.
+            hall: Data hall of this instance.
             links: Links to the other instances.
-            peers: Tells which of them can be asked.
-            members: Tells which instances are listed.
+            peers: Knows which instances are available.
+            members: Returns the membership list.
         """
         self._reactor = reactor
         self._name = name
@@ -59,25 +59,25 @@
         self._members = members
         self._started_at = reactor.seconds()
         self._lost_at: dict[str, float] = {}
-        # Instances of the hall that were known at the last look, when that was, and since when all
-        # of them are heard.
+        # Instances of the hall that were known at the last update, the time of that update, and the
+        # time since which messages have arrived from all of them.
         self._last_known: set[str] = set()
         self._updated_at = -math.inf
         self._all_heard_since = math.inf
         self.order: Callable[[str, Iterable[str]], Sequence[str]] = rank_by_hash
-        """Ranks names of instances for a workspace, the best first."""
+        """Ranks names of instances or halls for a workspace, the best first."""
         self.is_leaving: Callable[[], bool] = lambda: False
-        """Says whether this instance is about to stop."""
+        """Returns True if this instance is shutting down."""
         links.on_down.append(self._on_down)
 
     def holders(self, workspace: str) -> list[str]:
-        """List the instances of this hall that hold a workspace's tokens and can be asked.
+        """Return the available instances of this hall that may hold a workspace's tokens.
 
         Args:
             workspace: Name of the workspace.
 
         Returns:
-            Their names, the best first; this instance may be among them.
+            Their names, the highest-ranked first; this instance may be among them.
         """
         able = set(self._peers.able(self._hall))
         if not able or not self.is_leaving():
@@ -85,27 +85,27 @@
         return [name for name in self._candidates(workspace) if name in able]
 
     def remote_holder(self, workspace: str, hall: str) -> str | None:
-        """Choose whom to ask in another hall.
+        """Return the instance to ask in another hall.
 
         Args:
             workspace: Name of the workspace.
-            hall: The hall.
+            hall: Name of the hall.
 
         Returns:
-            Its name; None when nobody there is heard of who may hold tokens.
+            Its name; None if no instance there that may hold tokens is available.
         """
         able = set(self._peers.able(hall))
         return next((name for name in self._candidates(workspace, hall) if name in able), None)
 
     def any_remote_holder(self, workspace: str) -> str | None:
-        """Choose whom to ask in any other hall, when nobody in this one answers.
+        """Return the instance to ask in any other hall, if no holder in this hall answers.
 
         Args:
             workspace: Name of the workspace.
 
         Returns:
-            Its name, for every workspace from an order of halls of its own; None when nobody is
-            heard of who may hold tokens.
+            Its name; None if no instance that may hold tokens is available. The halls are ranked
+            separately for each workspace.
         """
         halls = {link.hello.hall for link in self._links.up.values() if link.hello is not None}
         halls.discard(self._hall)
@@ -113,32 +113,32 @@
         return next((name for name in found if name is not None), None)
 
     def may_hold(self, workspace: str) -> bool:
-        """Say whether this instance is one of those that may hold a workspace's tokens.
+        """Return whether this instance may hold a workspace's tokens.
 
         Args:
             workspace: Name of the workspace.
 
         Returns:
-            Whether it is, by all instances that are known of the hall.
+            True if it is among the first `quota.MAX_LIVES` of all known instances of the hall.
         """
         return self._name in self._candidates(workspace)
 
     def ranks_first(self, workspace: str) -> bool:
-        """Say whether this instance has the best rank of all that are known of the hall.
+        """Return whether this instance ranks first for a workspace.
 
         Args:
             workspace: Name of the workspace.
 
         Returns:
-            Whether it has.
+            True if it ranks first among all known instances of the hall.
         """
         return self._name in self._candidates(workspace)[:1]
 
     def update_liveness(self) -> None:
-        """Note whether all instances that are known of the hall are heard.
+        """Check whether messages arrive from all known instances of the hall.
 
-        Called each `quota.CHECK_SECONDS`. A later call means that this process stood still, and
-        others may have acted for it meanwhile.
+        Called every `quota.CHECK_SECONDS`. A late call means that this process was suspended, and
+        other instances may have taken over from it in the meantime.
         """
         now = self._reactor.seconds()
         known = self._known()
@@ -153,15 +153,15 @@
         self._updated_at = now
 
     def is_sole_holder(self, workspace: str, seconds: float) -> bool:
-        """Say whether this instance alone has acted for its hall for some time.
+        """Return whether this instance has been the only possible holder of its hall for some time.
 
         Args:
             workspace: Name of the workspace.
-            seconds: The time.
+            seconds: Length of that time in seconds.
 
         Returns:
-            Whether it ranks first, and has heard all instances of the hall for that long, while
-            none came or went.
+            True if it ranks first and, for that long, has received messages from all instances of
+            the hall while none joined or left.
         """
         now = self._reactor.seconds()
         if self.is_leaving() or now - self._updated_at > quota.LIVENESS_TIMEOUT_SECONDS:
@@ -169,13 +169,13 @@
         return now - self._all_heard_since >= seconds and self.ranks_first(workspace)
 
     def share(self, workspace: str) -> float:
-        """Say how much of the hall's rate this instance earns for a workspace.
+        """Return the fraction of the hall's rate that this instance earns for a workspace.
 
         Args:
             workspace: Name of the workspace.
 
         Returns:
-            From 0 to 1; nothing while the other instances are not known.
+            Fraction from 0 to 1; 0 while the membership list is empty or this instance is leaving.
         """
         if self.is_leaving() or not self._members():
             return 0.0
@@ -189,16 +189,23 @@
         return quota.earned_share(rank, silent, heard, len(known))
 
     def _candidates(self, workspace: str, hall: str = "") -> Sequence[str]:
-        """Name those that may hold tokens, the best first; nobody while no instance is known."""
+        """Return the instances of a hall that may hold tokens, the highest-ranked first.
+
+        Empty while no other instance is known.
+
+        Args:
+            workspace: Name of the workspace.
+            hall: Name of the hall; empty for the hall of this instance.
+        """
         if not self._members() and not self._links.up:
             return ()
         return self.order(workspace, self._known(hall))[: quota.MAX_LIVES]
 
     def _known(self, hall: str = "") -> set[str]:
-        """Name the instances of a hall that are listed or linked.
+        """Return the instances of a hall that are on the membership list or linked.
 
         Args:
-            hall: The hall; that of this instance, which is then among them, when not given.
+            hall: Name of the hall; empty for the hall of this instance, which is then included.
         """
         wanted = hall or self._hall
         names = {one.name for one in self._members() if one.hall == wanted}
@@ -210,7 +217,7 @@
         return names
 
     def _silence(self, name: str) -> float:
-        """Tell for how many seconds nothing was heard of an instance."""
+        """Return the seconds since the last message from an instance."""
         now: float = self._reactor.seconds()
         link = self._links.up.get(name)
         if link is not None:
--- a/src/lineworks/forwarding/quota_view.py
+++ b/src/lineworks/forwarding/quota_view.py
@@ -1,6 +1,6 @@
-"""Shows operators the quotas: limits, who holds tokens, and whose requests were refused.
+"""Serves operators a view of quotas: limits, holders of tokens, and refusals by workspace.
 
-Served beside the metrics, which only the instances' own network reaches.
+Served on the metrics port, which is reachable only from the instances' own network.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 def answer(keeper: quota_keeper.QuotaKeeper, hall: str) -> server_connection.Answer:
-    """Answer an operator.
+    """Answer an operator's request for the view.
 
     Args:
-        keeper: Admits requests by their quotas.
+        keeper: Admits requests by the quotas of their workspaces.
         hall: Data hall of this instance.
 
     Returns:
--- a/src/lineworks/forwarding/suspect_documents.py
+++ b/src/lineworks/forwarding/suspect_documents.py
@@ -1,4 +1,4 @@
-"""Records of suspects as instances write them to the platform's store (JSON)."""
+"""Encodes and decodes the records of suspects in the platform's store (JSON)."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from lineworks.decisions import suspects
 
 PREFIX = "lineworks/suspects/"
-"""Prefix of the keys; what follows is the fingerprint of the request."""
+"""Prefix of the keys, followed by the fingerprint of the request."""
 
 
 class SuspectDocumentError(ValueError):
-    """The bytes are no record."""
+    """Raised for bytes that are not a valid record."""
 
 
 def encode(record: suspects.Record) -> bytes:
-    """Write a record. Times are left out: instances share no clock.
+    """Encode a record. Times are omitted, because instances do not share a clock.
 
     Args:
-        record: The record.
+        record: Record to encode.
 
     Returns:
-        JSON.
+        The record as JSON.
     """
     ends = [[end.target, end.attempt, end.is_trial, end.is_proven] for end in record.ends]
     document = {
@@ -33,18 +33,18 @@
 
 
 def decode(content: str, data: bytes, now: float) -> suspects.Record:
-    """Read a record; its ends count from now.
+    """Decode a record. Its ends are dated to the present, because their times are not stored.
 
     Args:
         content: Fingerprint of the request.
-        data: What `encode` wrote.
-        now: The present, in seconds.
+        data: JSON that `encode` returned.
+        now: Current time in seconds.
 
     Returns:
-        The record.
+        The decoded record.
 
     Raises:
-        SuspectDocumentError: It is something else.
+        SuspectDocumentError: If the data is not a valid record.
     """
     try:
         found = json.loads(data)
--- a/src/lineworks/forwarding/suspect_exchange.py
+++ b/src/lineworks/forwarding/suspect_exchange.py
@@ -1,11 +1,12 @@
-"""What all instances know of requests under which targets ended.
-
-Whoever finds that a target has ended tells all peers at once, so that the caller's next try is
-known wherever it comes, and soon after the platform's store, for instances that start or are cut
-off from their peers. An instance that reads news from the store tells its hall; a new link begins
-with all records, between halls from one instance of each. Nothing is sent while no target ends: a
-connection alone that broke off is known to nobody else. What is made of it is decided in
-`lineworks.decisions.suspects`.
+"""Shares records of requests that may crash targets among all instances.
+
+An instance that finds that a target has ended reports it to all peers immediately, so that the
+caller's next attempt is recognized at any instance. Soon afterwards it writes the record to the
+platform's store, for instances that start or are cut off from their peers. An instance that reads
+new records from the store forwards them to its hall. When a link comes up, all records are sent
+over it; between halls only one instance of each hall does so. Nothing is sent while no target ends:
+an instance keeps a broken connection to itself until the target is known to have ended.
+`lineworks.decisions.suspects` decides how suspects are handled.
 """
 
 from __future__ import annotations
@@ -27,46 +28,49 @@
     from lineworks.wire import frames
 
 REPORT_BATCH_SECONDS = 0.02
-"""Seconds for which more of the same is gathered for one message: what changes a judgement is told
-at once, and a caller's next try comes later than that."""
+"""Seconds for which further reports are batched into one message. Reports that change a judgement
+are sent immediately, and a caller's next attempt arrives later than this."""
 
 WRITE_BATCH_SECONDS = 0.3
-"""Seconds for which news is gathered before it goes to the store: most suspects are cleared by
-their caller's next try before that."""
+"""Seconds for which changes are batched before they are written to the store: most suspects are
+cleared before that by their caller's next attempt."""
 
 RETRY_SECONDS = 1.0
-"""Seconds between writes while the store fails."""
+"""Seconds between attempts to write while the store fails."""
 
 MAX_WRITE_BATCH = 32
-"""Records of one write, as the store allows."""
+"""Maximum number of records per transaction, which is the store's limit."""
 
 LEASE_SECONDS = 600.0
-"""Seconds after which the store drops a record: the longest lease that there is."""
+"""Seconds after which the store drops a record: the longest lease that it grants."""
 
 REFRESH_SECONDS = 300.0
-"""Seconds after which a record that is still in use is written again."""
+"""Seconds after which a record that still causes refusals is written again."""
 
 EXPIRY_CHECK_SECONDS = 1.0
-"""Seconds between looks for records whose time has passed."""
+"""Seconds between checks for expired records."""
 
 MAX_PROBES = 4
-"""Targets of one report that are asked whether they have ended: one more than it takes."""
+"""Maximum number of targets per report that are probed for whether they have ended: one more than
+are needed for a refusal."""
 
 PROBE_TIMEOUT_SECONDS = 1.0
-"""Seconds to wait for a connection to such a target; a host that is dark refuses none."""
+"""Timeout in seconds for connecting to a probed target. A host that is down does not even refuse
+connections."""
 
 DUTY = "suspects"
-"""What one instance of a hall does for all of them: it tells new links to other halls."""
+"""Name of the duty that one instance performs for its hall: sending all records over new links to
+other halls, and writing them to the store again after it was restored."""
 
 MAX_LOG_LINES_PER_SECOND = 20.0
-"""Log lines a second of each kind: suspects, and requests that are refused."""
+"""Maximum number of log lines per second, separately for suspects and for refused requests."""
 
 MAX_LOGGED_ENDS = 4
-"""Ends that a log line names at most."""
+"""Maximum number of ends per log line."""
 
 
 class SuspectExchange:
-    """The suspects as one instance knows them."""
+    """Keeps the suspects that one instance knows, and exchanges them with its peers."""
 
     def __init__(
         self,
@@ -77,15 +81,15 @@
         client: store.Store,
         book: target_book.TargetBook,
     ) -> None:
-        """Start without suspects.
+        """Initialize the exchange without suspects.
 
         Args:
-            reactor: Twisted's reactor.
+            reactor: Twisted reactor.
             name: Name of this instance.
-            hall: Its data hall.
+            hall: Data hall of this instance.
             links: Links to the other instances.
-            client: The platform's store.
-            book: Tells where targets listen.
+            client: Client of the platform's store.
+            book: Knows the addresses of targets.
         """
         self._reactor = reactor
         self._name = name
@@ -95,7 +99,7 @@
         self._book = book
         self._suspects = suspects.Suspects()
         self._announced: dict[str, suspects.Judgement] = {}
-        # Suspects that nobody else knows of: no end of a target is proven.
+        # Suspects that were not reported to peers, because no end of a target is proven.
         self._local_only: set[str] = set()
         self._unannounced: dict[str, str] = {}
         self._unwritten: dict[str, suspects.Record] = {}
@@ -109,18 +113,18 @@
             reactor, "suspects", MAX_LOG_LINES_PER_SECOND
         )
         self.counts: collections.Counter[str] = collections.Counter()
-        """Requests refused and tried on one target, reports told and taken in, suspects cleared."""
+        """Counts of refusals, trials, reports sent and merged, and cleared suspects."""
         links.handle(node_frames.SuspectReports, self._on_reports)
         links.on_up.append(self._on_up)
 
     @property
     def records(self) -> tuple[suspects.Record, ...]:
-        """All records."""
+        """All records that this instance has."""
         return tuple(self._suspects.records.values())
 
     @property
     def gauges(self) -> dict[str, float]:
-        """Counts for metrics."""
+        """Values for metrics."""
         now = self._reactor.seconds()
         judged = collections.Counter(record.judge(now) for record in self.records)
         return {
@@ -131,20 +135,20 @@
         }
 
     def start(self) -> None:
-        """Do nothing; the first suspect starts what there is to do."""
+        """Do nothing: timers start with the first suspect."""
 
     def stop(self) -> None:
-        """Stop writing and looking."""
+        """Stop writing to the store and checking for expired records."""
         self._is_stopped = True
         self._writer.stop()
         if self._expiry_timer is not None and self._expiry_timer.active():
             self._expiry_timer.cancel()
 
     def judge(self, content: str) -> suspects.Judgement:
-        """Say what is to be done with a request.
+        """Return how to handle a request.
 
         Args:
-            content: Its fingerprint.
+            content: Fingerprint of the request.
 
         Returns:
             The judgement.
@@ -157,20 +161,20 @@
         return found
 
     def on_store_return(self) -> None:
-        """Write what all know again: the store came back from a copy that may lack it."""
+        """Write all shared records again: the store was restored from a copy that may lack them."""
         if hall_peers.represents_hall(self._links, self._hall, self._name, DUTY):
             for record in self._shared():
                 self._write_soon(record)
 
     def note_refused(self, content: str, attempt: str) -> float:
-        """Note that a request is refused.
+        """Record that a request is refused.
 
         Args:
-            content: Its fingerprint.
-            attempt: Identity of the caller's try.
+            content: Fingerprint of the request.
+            attempt: Identity of the caller's attempt.
 
         Returns:
-            Seconds for which it will be.
+            Seconds for which it will remain refused.
         """
         now = self._reactor.seconds()
         record = self._suspects.records[content]
@@ -186,13 +190,13 @@
     def note_broken(
         self, content: str, targets: Sequence[str], attempt: str, is_trial: bool
     ) -> None:
-        """Note that targets broke off under a try, and no target answered it.
+        """Record that connections to targets broke during an attempt that no target answered.
 
         Args:
             content: Fingerprint of the request.
             targets: Identities of the targets.
-            attempt: Identity of the try.
-            is_trial: Whether it ran as a suspect.
+            attempt: Identity of the attempt.
+            is_trial: Whether the attempt was a trial.
         """
         now = self._reactor.seconds()
         record = self._suspects.note_ends(content, targets, attempt, is_trial, now)
@@ -203,10 +207,10 @@
             self._probe(content, target, attempt)
 
     def note_answer(self, content: str) -> None:
-        """Note that a target answered a request.
+        """Record that a target answered a request, which clears it.
 
         Args:
-            content: Its fingerprint.
+            content: Fingerprint of the request.
         """
         record = self._suspects.note_answer(content, self._reactor.seconds())
         if record is not None:
@@ -218,10 +222,10 @@
                 self._announce(record, "an answer")
 
     def note_gone(self, targets: Iterable[str]) -> None:
-        """Note that targets are gone, by their entries: those that broke off have ended.
+        """Record that the entries of targets are gone: targets whose connections broke have ended.
 
         Args:
-            targets: Their identities.
+            targets: Identities of the targets.
         """
         if not self._suspects.records:
             return
@@ -232,13 +236,13 @@
                     self._on_proven(record.content, end.target, end.attempt)
 
     def lift(self, content: str) -> bool:
-        """Let a refused request have a trial at once; operators ask for it.
+        """Lift a refusal for an operator, so that the request may have a trial immediately.
 
         Args:
-            content: Its fingerprint.
+            content: Fingerprint of the request.
 
         Returns:
-            Whether it was refused.
+            True if it was refused.
         """
         record = self._suspects.lift(content, self._reactor.seconds())
         if record is None:
@@ -247,10 +251,11 @@
         return True
 
     def _announce_if_proven(self, record: suspects.Record) -> None:
-        """Tell of a suspect once a target has ended for certain, or it was tried as one.
+        """Report a suspect once an end is proven or one happened during a trial.
 
-        Targets that only lose answers break off under hundreds of requests at a time: told to all
-        and cleared again each time, that was most of what 195 instances sent between regions.
+        Targets that only lose responses break the connections of hundreds of requests at a time.
+        Reporting and then clearing each of these made up most of the traffic that 195 instances
+        sent between regions.
         """
         content = record.content
         is_known = content in self._announced or record.proven
@@ -262,11 +267,11 @@
             self._note_change(record, "an own request")
 
     def on_changes(self, changes: Iterable[store_items.Change]) -> None:
-        """Take in what the platform's store holds.
+        """Merge records from the platform's store.
 
         Args:
-            changes: Keys that were written or removed. A key that is gone proves nothing, since
-                its lease may have ended.
+            changes: Keys that were written or removed. Removed keys are ignored, because their
+                lease may simply have expired.
         """
         news = []
         for change in changes:
@@ -285,11 +290,11 @@
                 self._note_shared(record, "the store")
                 news.append(record)
         if news:
-            # Each hall has a reader of its own, so the others learn the same from theirs.
+            # Each hall has its own reader of the store, so other halls receive the same changes.
             self._send_to(hall_peers.names(self._links, self._hall), news)
 
     def _on_up(self, hello: frames.Hello) -> None:
-        """Tell a peer all there is: it may have started or been cut off."""
+        """Send all shared records to a peer, which may have started or been cut off."""
         shared = self._shared()
         if not shared:
             return
@@ -298,7 +303,7 @@
             self._send_to([hello.name], shared)
 
     def _shared(self) -> list[suspects.Record]:
-        """List what others know as well."""
+        """Return the records that may be shared with other instances."""
         return [record for record in self.records if record.content not in self._local_only]
 
     def _on_reports(self, link: Any, frame: node_frames.SuspectReports) -> None:
@@ -313,19 +318,20 @@
                 record.cleared_at is not None
                 and self._announced.pop(record.content, None) is not None
             ):
-                # Reported by this instance, and cleared by another one.
+                # This instance reported the suspect, and another one cleared it.
                 self._broadcast((record,))
             cleared = self._suspects.clear_if_answered(found.content, now)
             if cleared is not None:
-                # Only whoever reported it is told, and tells the others: else all that know better
-                # would tell all.
+                # Tell only the reporter, which informs the others. Otherwise every instance that
+                # knows of the answer would inform all others.
                 self._note_change(cleared, "an answer")
                 link.send(node_frames.SuspectReports((cleared,)))
 
     def _announce(self, record: suspects.Record, origin: str) -> None:
-        """Tell the peers of what changes a judgement at once, of the rest soon; and the store.
+        """Report a change to the peers and write it to the store.
 
-        Each end and each proof told by itself took 16 messages to each instance for one search.
+        Changes of the judgement are sent immediately and others are batched: sending each end and
+        each proof separately took 16 messages to each instance for one search.
         """
         content = record.content
         judgement = record.judge(self._reactor.seconds())
@@ -350,7 +356,7 @@
             self._broadcast(news)
 
     def _note_shared(self, record: suspects.Record, origin: str) -> None:
-        """Take note of what others know as well."""
+        """Record a change that other instances know of."""
         self._local_only.discard(record.content)
         self._note_change(record, origin)
 
@@ -394,7 +400,7 @@
             self._expiry_timer = self._reactor.callLater(EXPIRY_CHECK_SECONDS, self._expire)
 
     def _probe(self, content: str, target: str, attempt: str) -> None:
-        """Find out whether a target has ended, or only its connection."""
+        """Find out whether a target has ended, or only the connection to it."""
         state = self._book.find(target)
         if state is None:
             self._on_proven(content, target, attempt)
@@ -424,7 +430,7 @@
             self._reactor.callLater(pause, self._writer.start)
 
     async def _write(self) -> None:
-        """Write what is new to the store; what fails is written later."""
+        """Write changed records to the store; failed writes are retried later."""
         held = self._suspects.records
         wanted = [content for content in self._unwritten if content in held][:MAX_WRITE_BATCH]
         batch = {content: held[content] for content in wanted}
@@ -453,7 +459,7 @@
         )
 
     def _note_written(self, batch: Mapping[str, suspects.Record]) -> None:
-        """Take out what was written, unless it changed meanwhile, and what is forgotten."""
+        """Drop written records from the queue unless they changed meanwhile, and expired ones."""
         self._written_at.update(dict.fromkeys(batch, self._reactor.seconds()))
         held = self._suspects.records
         self._unwritten = {
@@ -464,7 +470,7 @@
 
 
 def _describe(end: suspects.TargetEnd, now: float) -> str:
-    """Tell people of one end."""
+    """Describe a target's end for the log."""
     kind = " in a trial" if end.is_trial else ""
     proof = "ended" if end.is_proven else "broke off"
     return f"{end.target} {proof}{kind} {now - end.at:.1f} s ago"
--- a/src/lineworks/forwarding/suspect_view.py
+++ b/src/lineworks/forwarding/suspect_view.py
@@ -1,7 +1,8 @@
-"""Shows operators the suspects of one instance, and takes their word to lift a refusal.
+"""Serves operators the suspects of one instance, and lets them lift a refusal.
 
-Served beside the metrics, which only the instances' own network reaches. To lift a refusal risks
-one target: the next such request runs on one, and is refused again if that ends.
+Served on the metrics port, which is reachable only from the instances' own network. Lifting a
+refusal risks one target: the next such request runs on one target, and is refused again if that
+target ends.
 """
 
 from __future__ import annotations
@@ -20,21 +21,22 @@
 """Path of the list (GET)."""
 
 LIFT_PATH = b"/suspects/lift"
-"""Path that lifts one refusal (POST), with its fingerprint as `content` in the query."""
+"""Path that lifts a refusal (POST); the query parameter `content` is the request's fingerprint."""
 
 
 def answer(
     request: server_connection.Request, exchange: suspect_exchange.SuspectExchange, now: float
 ) -> server_connection.Answer:
-    """Answer an operator.
+    """Answer an operator's request to list suspects or to lift a refusal.
 
     Args:
-        request: The request.
-        exchange: The suspects.
-        now: The present, in seconds.
+        request: HTTP request.
+        exchange: Suspects that this instance knows.
+        now: Current time in seconds.
 
     Returns:
-        The list, or what became of the wish; 404 for a fingerprint that isn't refused.
+        The list, or the result of lifting the refusal; 404 for a fingerprint that is not refused,
+        405 for a request to lift that is not a POST.
     """
     path, _, query = request.target.partition(b"?")
     if path == PATH:
--- a/src/lineworks/forwarding/workspace_view.py
+++ b/src/lineworks/forwarding/workspace_view.py
@@ -1,6 +1,6 @@
-"""Shows operators the workspaces in force at one instance; their keys are counted and never shown.
+"""Serves operators the workspaces in force at one instance. Keys are counted, but never shown.
 
-Served beside the metrics, which only the instances' own network reaches.
+Served on the metrics port, which is reachable only from the instances' own network.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
     knowledge: access.ConfigurationFreshness,
     regions: Collection[str],
 ) -> server_connection.Answer:
-    """Answer an operator.
+    """Answer an operator's request for the view.
 
     Args:
-        table: The configuration in force, if there is one.
-        knowledge: How good what this instance knows of the configuration is.
+        table: Configuration in force; None before there is one.
+        knowledge: Freshness of this instance's configuration.
         regions: Regions of the deployment.
 
     Returns:
