--- a/tests/test_ctl_suspects.py
+++ b/tests/test_ctl_suspects.py
@@ -1,4 +1,4 @@
-"""`lineworks-ctl suspects` and `lift` against a real port, and what they print."""
+"""Output of `lineworks-ctl suspects` and `lift` against a real port."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Instance(http.server.BaseHTTPRequestHandler):
-    """Stands in for an instance's metrics port."""
+    """Simulates an instance's metrics port."""
 
     def do_GET(self):  # noqa: N802
         self._answer(200, {"suspects": [ROW]})
@@ -63,7 +63,7 @@
     return done.returncode, done.stdout, done.stderr
 
 
-def test_suspects_are_listed_with_the_ends_that_are_the_reason(node):
+def test_suspects_are_listed_with_the_ends_that_made_them_suspect(node):
     code, printed, _ = ctl(node, "suspects")
     assert code == 0
     assert printed.splitlines() == [
@@ -72,14 +72,14 @@
     ]
 
 
-def test_a_refusal_is_lifted_and_an_unknown_one_is_told(node):
+def test_a_refusal_is_lifted_and_an_unknown_one_is_reported(node):
     assert ctl(node, "lift", ROW["content"])[:2] == (0, f"lifted {ROW['content']}\n")
     code, _, error = ctl(node, "lift", "x")
     assert code == 3
     assert "not refused here" in error
 
 
-def test_arguments_and_an_instance_that_is_not_there_are_told(node):
+def test_invalid_arguments_and_an_unreachable_instance_are_reported(node):
     assert ctl(node, "lift")[0] == 2
     assert ctl(node, "suspects", "more")[0] == 2
     code, _, error = ctl("http://127.0.0.1:1", "suspects")
--- a/tests/test_placement_view.py
+++ b/tests/test_placement_view.py
@@ -1,4 +1,4 @@
-"""What operators see of home regions, evacuations and cold targets: the view and the logs."""
+"""The operators' view and logs of home regions, evacuations and cold targets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return json.loads(reply.body)
 
 
-def test_it_tells_of_homes_without_targets_and_of_evacuated_halls():
+def test_the_view_lists_homes_without_targets_and_evacuated_halls():
     world = test_home_regions.build()
     world.evacuate("akl")
     world.run(3.0)
@@ -35,7 +35,7 @@
     assert "1 of 1 services have no target there: shelf" in text
 
 
-def test_it_tells_of_cold_targets_and_what_they_get_from_here():
+def test_the_view_lists_cold_targets_and_their_share_of_requests():
     world = test_cold_targets.build()
     shelf = test_forwarding.targets_of(world, "shelf")[0]
     test_cold_targets.announce_cold(world, shelf, True)
@@ -47,7 +47,7 @@
     assert f"cold: shelf/{shelf.name} in {shelf.hall}" in text
 
 
-def test_it_can_be_asked_before_there_is_a_configuration():
+def test_the_view_is_served_before_there_is_a_configuration():
     world = deployment.Deployment(test_forwarding.fakes.VirtualClock())
     world.add_node("akl-1", "akl")
     world.run(1.0)
@@ -66,7 +66,7 @@
     return found
 
 
-def test_unknown_regions_and_halls_are_named_in_the_log(lines):
+def test_unknown_regions_and_halls_are_logged(lines):
     world = test_home_regions.build(
         routes=[{**test_home_regions.HOME, "AllowedRegions": ["akl", "nowhere"]}]
     )
@@ -79,7 +79,7 @@
     assert len(asked) == len(world.nodes)
 
 
-def test_a_refused_request_names_its_home_regions_and_what_keeps_their_targets(lines):
+def test_a_refused_request_logs_its_home_regions_and_why_their_targets_are_excluded(lines):
     world = test_home_regions.build()
     world.evacuate("akl")
     world.run(3.0)
--- a/tests/test_quota_deployment.py
+++ b/tests/test_quota_deployment.py
@@ -1,4 +1,4 @@
-"""Quotas in a whole deployment in memory: what callers, targets and operators see of them."""
+"""Quotas in a whole in-memory deployment, as callers, targets and operators see them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return made
 
 
-def ask_often(world, seconds, between=0.02):
+def send_requests(world, seconds, between=0.02):
     names = sorted(world.nodes)
     replies = []
     for number in range(round(seconds / between)):
@@ -35,59 +35,59 @@
     return replies
 
 
-def worst_window(world):
+def max_requests_in_window(world):
     times = sorted(run.at for run in world.runs)
     return max(sum(at <= other < at + 5.0 for other in times) for at in times)
 
 
-def test_what_is_over_a_quota_is_told_so_and_reaches_no_target(world):
-    replies = ask_often(world, 15.0)
+def test_requests_over_the_quota_get_429_and_reach_no_target(world):
+    replies = send_requests(world, 15.0)
     served = [reply for reply in replies if reply.status == 200]
     refused = [reply for reply in replies if reply.status == 429]
     assert len(served) + len(refused) == len(replies)
     assert len(world.runs) == len(served)
-    assert worst_window(world) <= world.quota_bound.max_requests(LIMITED.quota)
+    assert max_requests_in_window(world) <= world.quota_bound.max_requests(LIMITED.quota)
     assert len(served) >= 0.95 * 2.0 * 15.0
     assert all(float(reply.headers["retry-after"]) > 0 for reply in refused)
     assert max(reply.seconds for reply in refused) < 0.1
 
 
-def test_it_holds_while_the_halls_are_cut_and_all_instances_start_again(world):
-    ask_often(world, 4.0)
+def test_the_bound_holds_while_halls_are_partitioned_and_all_instances_restart(world):
+    send_requests(world, 4.0)
     for name in world.nodes:
         for other in world.nodes:
             if name[:3] != other[:3]:
                 world.network.cut(world.address_of(name), world.address_of(other))
-    ask_often(world, 4.0)
+    send_requests(world, 4.0)
     world.network.heal()
     for name in list(world.nodes):
         world.host_of(name).kill()
         world.add_node(name, name[:3])
         world.nodes[name]._quotas.set_workspaces([LIMITED])
         world.nodes[name]._quotas.set_workspaces = lambda *told: None
-    assert 200 in {reply.status for reply in ask_often(world, 6.0)}
-    assert worst_window(world) <= world.quota_bound.max_requests(LIMITED.quota)
+    assert 200 in {reply.status for reply in send_requests(world, 6.0)}
+    assert max_requests_in_window(world) <= world.quota_bound.max_requests(LIMITED.quota)
 
 
-def test_requests_without_a_quota_cause_no_message(monkeypatch):
+def test_requests_without_a_quota_cause_no_messages(monkeypatch):
     made = test_home_regions.build(routes=[test_forwarding.READ])
-    replies = ask_often(made, 2.0)
+    replies = send_requests(made, 2.0)
     assert {reply.status for reply in replies} == {200}
     assert not any(
         node._quotas.counts or node._quotas.holder.counts for node in made.nodes.values()
     )
 
 
-def test_a_request_that_finds_no_target_gives_its_token_back(world):
+def test_a_request_that_finds_no_target_returns_its_token(world):
     for target in test_forwarding.targets_of(world, "shelf"):
         world.withdraw(target)
     world.run(3.0)
-    replies = ask_often(world, 3.0)
+    replies = send_requests(world, 3.0)
     assert {reply.status for reply in replies} == {503}
 
 
 def test_operators_see_limits_holders_and_refusals(world):
-    ask_often(world, 5.0)
+    send_requests(world, 5.0)
     found = {}
     for name in world.nodes:
         reply = world.send(name, b"GET /quotas HTTP/1.1\r\nHost: x\r\n\r\n", 7381)
@@ -118,7 +118,7 @@
     assert _node_commands.text_of(["quotas"], view) == "no workspace has a quota"
 
 
-def test_refusals_are_counted_for_a_bounded_number_of_workspaces(world, monkeypatch):
+def test_refusals_are_counted_separately_for_a_bounded_number_of_workspaces(world, monkeypatch):
     from lineworks.forwarding import quota_keeper
 
     monkeypatch.setattr(quota_keeper, "MAX_NAMED_WORKSPACES", 3)
@@ -135,7 +135,7 @@
     assert len(keeper.refusals) <= 4
 
 
-def test_a_caller_that_leaves_while_its_quota_is_asked_for_is_noted_and_sends_nothing(world):
+def test_a_caller_that_disconnects_during_the_quota_check_is_logged_and_nothing_is_sent(world):
     node = world.nodes["akl-1"]
     withdrawn = []
     node._front._shared.quotas.admit = lambda *args: lambda: withdrawn.append(True)
--- a/tests/test_quota_keeper.py
+++ b/tests/test_quota_keeper.py
@@ -1,4 +1,4 @@
-"""Quotas over whole fleets: real holders and keepers on links in memory."""
+"""Quotas in whole fleets: real holders and keepers, connected by in-memory links."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def holder_of(fleet, hall="b1", workspace="w"):
-    """Name the instance that holds a hall's tokens while all are there."""
+    """Return the instance that holds a hall's tokens while all instances are up."""
     return next(one for one in fleet.instances.values() if one.hall == hall).ranks.holders(
         workspace
     )[0]
 
 
-def below_the_limit(fleet, name):
-    """List refused requests before which no window had more than the limit in it."""
+def refused_below_limit(fleet, name):
+    """Return times of requests refused although the workspace had not exceeded its limit."""
     limit = fleet.workspaces[name].quota
     events = [(at, True) for at in fleet.admitted[name]]
     events += [(at, False) for at, _ in fleet.refused[name]]
@@ -39,19 +39,19 @@
     return found
 
 
-def test_ten_thousand_calm_requests_are_admitted():
+def test_ten_thousand_requests_below_the_limit_are_admitted():
     fleet, rates = quota_fleet.zipf_fleet()
     fleet.load(rates, 10_000 / quota_fleet.REQUESTS_A_SECOND)
     refused = sum(map(len, fleet.refused.values()))
     admitted = sum(map(len, fleet.admitted.values()))
-    assert not any(below_the_limit(fleet, name) for name in rates)
-    # Bursts of a random load go beyond a limit now and then.
+    assert not any(refused_below_limit(fleet, name) for name in rates)
+    # Bursts of the random load occasionally exceed a limit.
     assert refused <= 0.002 * admitted
     assert statistics.median(w for waits in fleet.waits.values() for w in waits) < 0.001
     assert fleet.worst_excess() <= 0
 
 
-def test_a_hot_workspace_gets_its_limit_and_the_others_notice_nothing():
+def test_a_hot_workspace_gets_its_limit_without_affecting_others():
     calm, rates = quota_fleet.zipf_fleet()
     calm.load(rates, 40.0)
     hot, _ = quota_fleet.zipf_fleet()
@@ -85,7 +85,7 @@
     assert fleet.worst_excess() <= 0
 
 
-def test_nothing_travels_between_halls_for_a_workspace_far_below_its_limit():
+def test_a_workspace_far_below_its_limit_causes_no_messages_between_halls():
     fleet = one_workspace()
     for _ in range(60):
         fleet.ask("w", fleet.rng.choice(list(fleet.instances)))
@@ -95,7 +95,7 @@
     assert max(fleet.waits["w"]) < 0.001
 
 
-def test_nothing_at_all_happens_without_a_limit():
+def test_a_workspace_without_a_limit_causes_no_messages_and_no_buckets():
     fleet = quota_fleet.Fleet((2, 2, 2, 2, 2, 2), {"w": None})
     fleet.load({"w": 50.0}, 2.0)
     assert not fleet.refused["w"]
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("rate", [1.0, 5.0])
-def test_a_limit_without_any_excess_is_used_and_kept(monkeypatch, rate):
+def test_a_limit_without_permitted_excess_is_used_and_not_exceeded(monkeypatch, rate):
     bound = quota.QuotaBound(5.0, 0.0, 0.0)
     monkeypatch.setattr(quota_fleet, "BOUND", bound)
     fleet = one_workspace(rate)
@@ -163,7 +163,7 @@
         fleet.wake(name)
 
 
-TROUBLES = [
+FAULTS = [
     cut_halls,
     cut_single_instances,
     kill_all,
@@ -175,8 +175,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("rate", [1.0, 10.0])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_no_window_gets_more_than_the_bound(trouble, rate, seed):
+@pytest.mark.parametrize("trouble", FAULTS)
+def test_no_window_exceeds_the_bound(trouble, rate, seed):
     fleet = quota_fleet.Fleet((5, 5, 5, 5, 5, 5), {"w": (rate, rate)}, seed)
     fleet.load({"w": 60.0}, 6.0)
     trouble(fleet)
@@ -185,7 +185,7 @@
     assert fleet.worst_excess() <= 0
 
 
-def test_a_fleet_that_is_too_generous_is_found(monkeypatch):
+def test_the_check_detects_a_fleet_that_exceeds_the_bound(monkeypatch):
     found = quota.part_of(quota_fleet.workspaces.Quota(10.0, 10.0), quota_fleet.BOUND, 6)
     deep = quota.Part(found.rate, found.depth * quota.MAX_LIVES, found.holders)
     monkeypatch.setattr(quota, "part_of", lambda limit, bound, halls: deep)
@@ -195,7 +195,7 @@
     assert fleet.worst_excess() > 0
 
 
-def test_a_kill_of_all_costs_no_request_below_the_limit():
+def test_a_restart_of_all_instances_refuses_no_request_below_the_limit():
     fleet, rates = quota_fleet.zipf_fleet()
     fleet.load(rates, 5.0)
     fleet.restart(*fleet.instances)
@@ -204,7 +204,7 @@
     assert not any(fleet.refused.values())
 
 
-def test_halls_that_are_all_cut_from_each_other_have_their_parts():
+def test_halls_that_are_cut_off_from_each_other_use_their_parts():
     fleet, rates = quota_fleet.zipf_fleet()
     fleet.load(rates, 5.0)
     fleet.cut_halls()
@@ -217,7 +217,7 @@
 
 
 @pytest.mark.parametrize("fault", ["kill", "freeze", "cut_off"])
-def test_the_loss_of_a_holder_costs_its_hall_one_time_out(fault):
+def test_the_loss_of_a_holder_costs_its_hall_one_timeout(fault):
     fleet = one_workspace()
     lost = holder_of(fleet)
     others = [name for name in fleet.instances if name.startswith("b1") and name != lost]
@@ -232,7 +232,7 @@
     assert max(fleet.waits["w"]) < quota_keeper.ASK_TIMEOUT_SECONDS + 0.05
 
 
-def test_an_instance_that_hears_nobody_who_could_tell_refuses_as_not_run():
+def test_an_instance_that_reaches_no_holder_refuses_as_not_run():
     fleet = one_workspace()
     holders = fleet.instances["b1-0"].ranks.holders("w")
     far = next(n for n in fleet.instances if n.startswith("b1") and n not in holders)
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.parametrize("is_holder", [True, False])
-def test_a_token_that_was_given_back_serves_another_request(monkeypatch, is_holder):
+def test_a_returned_token_is_granted_to_another_request(monkeypatch, is_holder):
     ticks = itertools.count()
     monkeypatch.setattr(
         quota_fleet.Reactor, "seconds", lambda self: self.clock.seconds() + next(ticks) * 1e-9
@@ -255,11 +255,11 @@
         fleet.ask("w", holder if is_holder else other, returns=True)
         fleet.run(0.05)
     assert not fleet.refused["w"]
-    # The others were let go: tokens of other halls had taken their room meanwhile.
+    # The remaining tokens were dropped: tokens from other halls had filled the bucket meanwhile.
     assert fleet.instances[holder].holder.counts["returned"] > 50
 
 
-def test_a_caller_that_left_costs_no_token():
+def test_a_withdrawn_request_costs_no_token():
     fleet = one_workspace(0.0, burst=5.0)
     asker = next(one for one in fleet.instances.values() if one.name != holder_of(fleet))
     for _ in range(60):
@@ -272,7 +272,7 @@
     assert fleet.admitted["w"]
 
 
-def test_refused_callers_are_told_different_times_of_return():
+def test_refused_callers_are_told_different_retry_times():
     fleet = one_workspace()
     fleet.load({"w": 200.0}, 5.0)
     assert max(fleet.retry_after) <= quota_holder.MAX_RETRY_AFTER
@@ -280,7 +280,7 @@
     assert len({round(seconds, 2) for seconds in fleet.retry_after}) > 5
 
 
-def test_a_lower_limit_holds_at_once_and_a_workspace_that_comes_back_has_no_new_life():
+def test_a_lower_limit_applies_immediately_and_a_restored_workspace_keeps_its_bucket():
     fleet = one_workspace(50.0)
     fleet.load({"w": 200.0}, 5.0)
     for one in fleet.instances.values():
@@ -298,7 +298,7 @@
     )
 
 
-def test_buckets_that_nobody_uses_are_forgotten_after_a_window():
+def test_unused_buckets_are_dropped_after_a_window():
     fleet = one_workspace()
     fleet.load({"w": 60.0}, 2.0)
     assert any(one.holder.held() for one in fleet.instances.values())
--- a/tests/test_quota_starts.py
+++ b/tests/test_quota_starts.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces in whole deployments while instances start, are lost, or send at once."""
+"""Quotas in whole deployments while instances start, fail, or are partitioned."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 """Instances in each hall."""
 
 WINDOW = 5.0
-"""Length of the bound's window in seconds."""
+"""Length of the quota bound's window in seconds."""
 
-PULSE = 0.1
-"""Seconds between rounds of questions at all instances."""
+ROUND_SECONDS = 0.1
+"""Seconds between rounds of requests for tokens at all instances."""
 
-PACE = 0.01
-"""Seconds between requests of a workspace far over its limit."""
+REQUEST_INTERVAL_SECONDS = 0.01
+"""Seconds between requests of a workspace that is far over its limit."""
 
 
 def build(rate=2.0, burst=2.0):
@@ -43,7 +43,7 @@
 
 
 def send(world, names, count, pace):
-    """Send requests to instances in turn; tell what became of them, by status."""
+    """Send requests to instances in turn, and return the number of responses by status."""
     replies = []
     for number in range(count):
         replies.append(world.ask(names[number % len(names)], "/read/q", key=KEY))
@@ -52,13 +52,13 @@
     return collections.Counter(reply.status for reply in replies)
 
 
-def first_of(world, hall):
-    """Rank the instances of a hall that may hold the workspace's tokens."""
+def candidates_of(world, hall):
+    """Return the instances of a hall that may hold the workspace's tokens, highest-ranked first."""
     return world.nodes[f"{hall}-1"]._ranks._candidates("north")
 
 
-def start_again(world, names, cut_off):
-    """Kill instances and start them, some of them cut off from the store."""
+def restart(world, names, cut_off):
+    """Kill instances and restart them, some of them cut off from the store."""
     for name in names:
         world.host_of(name).kill()
     world.run(WINDOW + 1.0)
@@ -68,14 +68,14 @@
         world.add_node(name, name.partition("-")[0])
 
 
-def test_a_holder_that_knows_no_configuration_yet_grants_nothing():
-    # It has no limits, and is asked under its old name by all of its hall.
+def test_a_restarted_holder_without_a_configuration_grants_nothing():
+    # It knows no limits yet, but its name is unchanged, so its whole hall asks it for tokens.
     world = build()
-    holder = first_of(world, "akl")[0]
-    start_again(world, [holder], [holder])
+    holder = candidates_of(world, "akl")[0]
+    restart(world, [holder], [holder])
     before = len(world.runs)
     others = [f"akl-{number}" for number in range(1, NODES + 1) if f"akl-{number}" != holder]
-    send(world, others, int((WINDOW - 1.0) / PACE), PACE)
+    send(world, others, int((WINDOW - 1.0) / REQUEST_INTERVAL_SECONDS), REQUEST_INTERVAL_SECONDS)
     assert len(world.runs) - before <= world.quota_bound.max_requests(quota_of(world))
 
 
@@ -84,20 +84,20 @@
 
 
 @pytest.mark.parametrize("cut_off", [0, 1, 2])
-def test_a_start_of_all_keeps_the_limit_where_the_store_turns_some_away(cut_off):
+def test_a_restart_of_all_keeps_the_limit_while_some_cannot_reach_the_store(cut_off):
     world = build()
     allowed = world.quota_bound.max_requests(quota_of(world))
     names = list(world.nodes)
-    turned_away = [name for name in names if int(name[-1]) <= cut_off]
-    start_again(world, names, turned_away)
+    without_store = [name for name in names if int(name[-1]) <= cut_off]
+    restart(world, names, without_store)
     before = len(world.runs)
-    send(world, names, int((WINDOW - 1.0) / PACE), PACE)
+    send(world, names, int((WINDOW - 1.0) / REQUEST_INTERVAL_SECONDS), REQUEST_INTERVAL_SECONDS)
     assert len(world.runs) - before <= allowed
 
 
-def test_a_workspace_is_served_in_a_hall_that_lost_the_first_of_its_holders():
+def test_a_workspace_is_served_in_a_hall_that_lost_all_its_holders():
     world = build(rate=10.0, burst=10.0)
-    lost = first_of(world, "akl")
+    lost = candidates_of(world, "akl")
     for name in lost:
         world.host_of(name).kill()
     world.run(5.0)
@@ -112,8 +112,9 @@
 
 @pytest.mark.parametrize("burst", [50.0, 200.0])
 @pytest.mark.parametrize("calm", [10.0, 60.0])
-def test_a_hall_cut_in_pieces_saves_no_more_than_a_whole_one(burst, calm):
-    # Each piece has a holder. Both saved for the whole burst, and both spent it: 512 of 295.
+def test_a_partitioned_hall_accumulates_no_more_tokens_than_a_whole_one(burst, calm):
+    # Each side of the partition has a holder. If both accumulate the whole burst, both spend it:
+    # that admitted 512 requests where 295 were allowed.
     limit = workspaces.Quota(10.0, burst)
     north = workspaces.Workspace("north", quota=limit)
     world = test_home_regions.build(routes=[test_forwarding.READ])
@@ -124,12 +125,14 @@
         one, other = (name for name in world.nodes if name.startswith(hall))
         world.network.cut(world.address_of(one), world.address_of(other))
     ask_all(world, north, 1, int(calm / 2.0), 2.0)
-    admitted = ask_all(world, north, int(burst / 10), int((WINDOW - 0.5) / PULSE), PULSE)
+    admitted = ask_all(
+        world, north, int(burst / 10), int((WINDOW - 0.5) / ROUND_SECONDS), ROUND_SECONDS
+    )
     assert 0 < admitted <= quota.QuotaBound(WINDOW, 0.1, 20.0).max_requests(limit)
 
 
 def ask_all(world, workspace, times, rounds, pause):
-    """Ask for tokens at all instances; tell how many were granted."""
+    """Request tokens at all instances, and return how many were granted."""
     granted = 0
 
     def on_end(admission):
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -1,4 +1,4 @@
-"""What instances do while nobody asks them anything."""
+"""Background work of instances while no requests arrive."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lineworks.standins import deployment
 
 INSTANCES = 4
-"""Instances of each hall."""
+"""Number of instances in each hall."""
 
 
 def _linked():
@@ -23,8 +23,8 @@
     return world
 
 
-def test_who_reads_for_a_hall_is_looked_up_only_when_the_knowledge_gets_old(monkeypatch):
-    """Looking at all links in each tick would take much of what a large fleet at rest costs."""
+def test_the_reader_of_a_hall_is_determined_only_when_the_data_becomes_stale(monkeypatch):
+    """Iterating over all links on every tick would be much of the cost of a large idle fleet."""
     world = _linked()
     lookups = collections.Counter()
     represents_hall = hall_peers.represents_hall
@@ -38,8 +38,8 @@
     assert 0 < sum(lookups.values()) <= 3 * len(world.nodes) * 10
 
 
-def test_a_fleet_that_waits_for_its_first_configuration_asks_the_store_seldom():
-    """Otherwise each instance would ask in each tick, and the store has a price for calls."""
+def test_a_fleet_that_waits_for_its_first_configuration_rarely_reads_the_store():
+    """Otherwise each instance would call the store on every tick, and calls have a cost."""
     world = deployment.Deployment(fakes.VirtualClock())
     world.add_target("billing", "akl")
     for hall in deployment.HALLS:
@@ -48,9 +48,9 @@
     world.run(1.5)
     begun = _reads(world)
     world.run(3.0)
-    # Each hall's reader asks five times a second, the others hardly ever.
+    # The reader of each hall reads five times per second, the other instances hardly ever.
     assert _reads(world) - begun <= 3 * 5 * len(deployment.HALLS) + len(world.nodes)
-    # Four calls each to read and to register, and one or two until the links are up.
+    # Four calls per instance to read and to register, and one or two until its links are up.
     assert begun <= 6 * len(world.nodes) + 1.5 * 5 * len(deployment.HALLS)
     world.configure([{"Name": "billing", "PathPrefix": "/billing/", "Service": "billing"}])
     world.run(0.3)
--- a/tests/test_workspace_view.py
+++ b/tests/test_workspace_view.py
@@ -1,4 +1,4 @@
-"""What operators see of workspaces: versions, counts of keys, priorities and home regions."""
+"""The operators' view of workspaces: versions, numbers of keys, priorities and home regions."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return world
 
 
-def test_it_tells_of_each_workspace_without_its_keys():
+def test_the_view_lists_each_workspace_without_its_keys():
     found = view_of(build(NORTH, SOUTH))
     assert found["version"] == 1
     assert not found["is_outdated"]
@@ -46,7 +46,7 @@
     assert "south: keys 1, priority that of the route, in any region" in text
 
 
-def test_a_key_that_was_taken_away_is_gone_from_the_count_with_a_higher_version():
+def test_a_revoked_key_is_no_longer_counted_in_the_next_version():
     world = build(NORTH, SOUTH)
     world.workspaces = [documents.workspace("north", KEYS[1]), SOUTH]
     world.configure([test_forwarding.READ])
@@ -55,12 +55,12 @@
     assert (found["version"], found["workspaces"][0]["keys"]) == (2, 1)
 
 
-def test_it_tells_where_requests_need_no_key():
+def test_the_view_states_that_requests_need_no_key():
     text = _node_commands.text_of(["workspaces"], view_of(build()))
     assert "no workspaces: requests need no key" in text
 
 
-def test_it_can_be_asked_before_there_is_a_configuration():
+def test_the_view_is_served_before_there_is_a_configuration():
     world = deployment.Deployment(fakes.VirtualClock())
     world.add_node("akl-1", "akl")
     world.run(1.0)
