--- a/src/lineworks/forwarding/suspect_exchange.py
+++ b/src/lineworks/forwarding/suspect_exchange.py
@@ -5,8 +5,8 @@
 platform's store, for instances that start or are cut off from their peers. An instance that reads
 new records from the store forwards them to its hall. When a link comes up, all records are sent
 over it; between halls only one instance of each hall does so. Nothing is sent while no target ends:
-an instance keeps a broken connection to itself until the target is known to have ended.
-`lineworks.decisions.suspects` decides how suspects are handled.
+an instance does not report a broken connection until the target is known to have ended, except one
+that broke during a trial. `lineworks.decisions.suspects` decides how suspects are handled.
 """
 
 from __future__ import annotations
@@ -99,7 +99,7 @@
         self._book = book
         self._suspects = suspects.Suspects()
         self._announced: dict[str, suspects.Judgement] = {}
-        # Suspects that were not reported to peers, because no end of a target is proven.
+        # Suspects that were not reported to peers, because no end is proven or part of a trial.
         self._local_only: set[str] = set()
         self._unannounced: dict[str, str] = {}
         self._unwritten: dict[str, suspects.Record] = {}
