--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -256,7 +256,7 @@
 
     def _is_reader(self) -> bool:
         """Return whether this instance reads the store for its hall."""
-        return hall_peers.acts_for_hall(self._links, self._hall, self._name, "reader")
+        return hall_peers.represents_hall(self._links, self._hall, self._name, "reader")
 
     async def _read_store(self) -> None:
         """Read the changes from the store, or everything on the first call."""
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -413,7 +413,7 @@
         shard = self._shards[index]
         if shard.running or shard.is_waiting:
             return
-        if shard.budget_requests < extra_keeper.MOST_ASKS:
+        if shard.budget_requests < extra_keeper.MAX_ASKS:
             shard.budget_requests += 1
             shard.is_waiting = True
             on_reply = functools.partial(self._on_retry, index)
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -202,7 +202,7 @@
             shard.not_hedged = search_state.NotHedged.NO_BUDGET
             if self._shared.is_overspending(shard.service, now, self._workspace):
                 return None
-            if shard.budget_requests < extra_keeper.MOST_ASKS or self._is_incomplete:
+            if shard.budget_requests < extra_keeper.MAX_ASKS or self._is_incomplete:
                 self._without_budget.append(shard.service)
             return None
         shard.is_hedged = True
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -256,7 +256,7 @@
         return shared.try_spend(self._service, now, workspace=self._call.workspace)
 
     def _may_request_extra(self) -> bool:
-        return self._extra_requests < extra_keeper.MOST_ASKS
+        return self._extra_requests < extra_keeper.MAX_ASKS
 
     def _request_extra(self, on_reply: Callable[[], None]) -> None:
         self._extra_requests += 1
