--- a/src/lineworks/standins/deployment.py
+++ b/src/lineworks/standins/deployment.py
@@ -35,14 +35,14 @@
 STORE_PORT = 8102
 CALLER_PORT = 8104
 READY_PORT = 8108
-LAPSE_SECONDS = 3.6
+ENTRY_LAPSE_SECONDS = 3.6
 """Seconds after which the entry of a target that ended goes: three of its check-ins."""
-FIRST_BORN = 1_700_000_000_000
+CLOCK_START_MS = 1_700_000_000_000
 """Unix millisecond at which the clock of a deployment starts."""
-_FIRST_NETWORK = 64
-_HOSTS_OF_A_NETWORK = 250
-NEAR = 0.0005
-FAR = 0.008
+_FIRST_TARGET_SUBNET = 64
+_HOSTS_PER_SUBNET = 250
+SAME_HALL_DELAY = 0.0005
+CROSS_HALL_DELAY = 0.008
 CALLER_DELAY = 0.001
 
 
@@ -58,7 +58,7 @@
     broken: str = ""
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether the answer came or the connection broke."""
         return bool(self.status or self.broken)
 
@@ -138,8 +138,8 @@
             The target.
         """
         number = len(self.targets) + 1
-        network, host = divmod(number - 1, _HOSTS_OF_A_NETWORK)
-        address = f"10.{HALLS.index(hall) + 1}.{_FIRST_NETWORK + network}.{host + 1}"
+        network, host = divmod(number - 1, _HOSTS_PER_SUBNET)
+        address = f"10.{HALLS.index(hall) + 1}.{_FIRST_TARGET_SUBNET + network}.{host + 1}"
         self._halls[address] = hall
         target = http_target.HttpTarget(
             self.network.host(address), f"i-{number}", service, hall, work, self.runs
@@ -167,15 +167,15 @@
         """
         target.host.kill()
         if self.has_proxies:
-            target.host.listenTCP(target.port, protocol.Factory.forProtocol(_NobodyBehind))
-        self.clock.callLater(LAPSE_SECONDS, self._withdraw_ended, target)
-        self.clock.callLater(seconds, self._start_again, target)
+            target.host.listenTCP(target.port, protocol.Factory.forProtocol(_ProxyWithoutTarget))
+        self.clock.callLater(ENTRY_LAPSE_SECONDS, self._withdraw_crashed, target)
+        self.clock.callLater(seconds, self._restart_crashed, target)
 
-    def _withdraw_ended(self, ended: http_target.HttpTarget) -> None:
+    def _withdraw_crashed(self, ended: http_target.HttpTarget) -> None:
         if self.targets[ended.name] is ended:
             self.withdraw(ended)
 
-    def _start_again(self, ended: http_target.HttpTarget) -> None:
+    def _restart_crashed(self, ended: http_target.HttpTarget) -> None:
         self.restart(ended, "" if self.keeps_identities else f"i-{len(self.targets) + 1}")
 
     def restart(self, ended: http_target.HttpTarget, name: str = "") -> http_target.HttpTarget:
@@ -195,10 +195,10 @@
         target.on_refused = ended.on_refused
         target.on_arrival = ended.on_arrival
         if self.tells_births:
-            target.born = FIRST_BORN + int(self.clock.seconds() * 1000)
+            target.born = CLOCK_START_MS + int(self.clock.seconds() * 1000)
         self.targets[target.name] = target
         self.on_start(target)
-        target.host.forget_port(target.port)
+        target.host.close_port(target.port)
         target.listen()
         self.announce(target)
         return target
@@ -326,10 +326,12 @@
             return CALLER_DELAY
         if STORE_ADDRESS in (sender, receiver):
             return 0.002
-        return NEAR if sender.split(".")[1] == receiver.split(".")[1] else FAR
+        return (
+            SAME_HALL_DELAY if sender.split(".")[1] == receiver.split(".")[1] else CROSS_HALL_DELAY
+        )
 
 
-class _NobodyBehind(protocol.Protocol):
+class _ProxyWithoutTarget(protocol.Protocol):
     """A proxy whose target is gone."""
 
     transport: Any
@@ -373,13 +375,13 @@
         self.send(self._data, False, self._on_reply)
 
     def _on_reply(
-        self, end: client_connection.Response | client_connection.ConnectionFailure
+        self, result: client_connection.Response | client_connection.ConnectionFailure
     ) -> None:
         reply = self._reply
         reply.at = self._clock.seconds()
-        if isinstance(end, client_connection.ConnectionFailure):
-            reply.broken = end.detail
+        if isinstance(result, client_connection.ConnectionFailure):
+            reply.broken = result.detail
             return
-        reply.status = end.status
-        reply.headers = {key.decode(): value.decode() for key, value in end.fields}
-        reply.body = end.body
+        reply.status = result.status
+        reply.headers = {key.decode(): value.decode() for key, value in result.fields}
+        reply.body = result.body
--- a/src/lineworks/standins/memory_network.py
+++ b/src/lineworks/standins/memory_network.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-FIRST_PORT = 40000
+FIRST_EPHEMERAL_PORT = 40000
 """First port that connecting sockets get."""
 
 
@@ -35,8 +35,8 @@
         self.clock = clock
         self.delay = delay
         self._hosts: dict[str, Host] = {}
-        self._cuts: set[tuple[str, str]] = set()
-        self._held: list[tuple[str, str, Callable[[], None]]] = []
+        self._cut_links: set[tuple[str, str]] = set()
+        self._held_deliveries: list[tuple[str, str, Callable[[], None]]] = []
 
     def host(self, address: str) -> Host:
         """Find or add a host.
@@ -59,14 +59,14 @@
             sender: Address of the sender.
             receiver: Address of the receiver.
         """
-        self._cuts.add((sender, receiver))
+        self._cut_links.add((sender, receiver))
 
     def heal(self) -> None:
         """End all cuts; what was held up arrives now."""
-        self._cuts.clear()
-        held, self._held = self._held, []
+        self._cut_links.clear()
+        held, self._held_deliveries = self._held_deliveries, []
         for sender, receiver, deliver in held:
-            self.carry(sender, receiver, deliver)
+            self.transmit(sender, receiver, deliver)
 
     def silence(self, address: str) -> None:
         """Drop whatever is sent from now on over the open connections of a host; new ones work.
@@ -75,11 +75,11 @@
             address: The host's address.
         """
         for transport in self.host(address).open_transports:
-            transport.is_mute = True
+            transport.drops_sent_data = True
             if transport.peer is not None:
-                transport.peer.is_mute = True
+                transport.peer.drops_sent_data = True
 
-    def carry(self, sender: str, receiver: str, deliver: Callable[[], None]) -> None:
+    def transmit(self, sender: str, receiver: str, deliver: Callable[[], None]) -> None:
         """Deliver something after the way's delay, or hold it up behind a cut.
 
         Args:
@@ -87,8 +87,8 @@
             receiver: Address of the receiver.
             deliver: Called on arrival.
         """
-        if (sender, receiver) in self._cuts:
-            self._held.append((sender, receiver, deliver))
+        if (sender, receiver) in self._cut_links:
+            self._held_deliveries.append((sender, receiver, deliver))
             return
         self.clock.callLater(self.delay(sender, receiver), self._arrive, receiver, deliver)
 
@@ -129,13 +129,13 @@
         """
         self.network = network
         self.address = address
-        self._ports: dict[int, _Listening] = {}
+        self._ports: dict[int, _ListeningPort] = {}
         # A table keeps its order, unlike a set: plays of one seed must not differ.
         self._open: dict[memory_transport.MemoryTransport, None] = {}
-        self._life = 0
-        self._is_dark = False
-        self._next_port = FIRST_PORT
-        self._waiting: collections.deque[Callable[[], None]] | None = None
+        self._process_generation = 0
+        self._is_powered_off = False
+        self._next_port = FIRST_EPHEMERAL_PORT
+        self._deferred_calls: collections.deque[Callable[[], None]] | None = None
         self.arrived_at = 0.0
         """When what it takes in arrived."""
         self.is_stopped = False
@@ -149,7 +149,7 @@
     @property
     def is_frozen(self) -> bool:
         """Whether it stands still."""
-        return self._waiting is not None
+        return self._deferred_calls is not None
 
     def seconds(self) -> float:
         """Tell the present."""
@@ -159,13 +159,13 @@
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:  # noqa: N802
         """Schedule a call; it is not made once the process is gone."""
         timer = _Timer(lambda: call(*args))
-        life = self._life
+        generation = self._process_generation
 
-        def make() -> None:
-            if life == self._life:
+        def fire_timer() -> None:
+            if generation == self._process_generation:
                 self.run(timer.fire)
 
-        self.network.clock.callLater(max(0.0, delay), make)
+        self.network.clock.callLater(max(0.0, delay), fire_timer)
         return timer
 
     def callFromThread(self, call: Callable[..., Any], *args: Any) -> None:  # noqa: N802
@@ -174,76 +174,76 @@
 
     def run(self, call: Callable[[], None]) -> None:
         """Make a call now, or when the host is no longer frozen."""
-        if self._waiting is not None:
-            self._waiting.append(call)
-        elif not self._is_dark:
+        if self._deferred_calls is not None:
+            self._deferred_calls.append(call)
+        elif not self._is_powered_off:
             call()
 
     def receive(self, deliver: Callable[[], None]) -> None:
         """Take in what arrives now, or when the host is no longer frozen."""
         arrived_at = self.seconds()
 
-        def take() -> None:
+        def deliver_arrived() -> None:
             self.arrived_at = arrived_at
             deliver()
 
-        self.run(take)
+        self.run(deliver_arrived)
 
     def listenTCP(  # noqa: N802
         self, port: int, factory: Any, backlog: int = 50, interface: str = ""
-    ) -> _Listening:
+    ) -> _ListeningPort:
         """Accept connections."""
-        listening = _Listening(self, port, factory)
+        listening_port = _ListeningPort(self, port, factory)
         if port in self._ports:
             raise net_error.CannotListenError(interface, port, OSError("in use"))
-        self._ports[port] = listening
-        return listening
+        self._ports[port] = listening_port
+        return listening_port
 
     def connectTCP(  # noqa: N802
         self, host: str, port: int, factory: Any, timeout: float = 30
-    ) -> _Connecting:
+    ) -> _ConnectionAttempt:
         """Open a connection, as Twisted's reactor does."""
-        attempt = _Connecting(self, host, port, factory)
+        attempt = _ConnectionAttempt(self, host, port, factory)
         attempt.timer = self.callLater(timeout, attempt.fail, net_error.TimeoutError())
-        self.network.carry(self.address, host, attempt.arrive)
+        self.network.transmit(self.address, host, attempt.reach_peer)
         return attempt
 
     def stop(self) -> None:
         """Stop the code on this host: as in Twisted, its protocols hear that they lost all."""
         self.is_stopped = True
         for transport in list(self._open):
-            transport.lose()
+            transport.reset_at_once()
         self.kill()
 
     def kill(self) -> None:
         """End the process: its sockets are reset, its timers never fire."""
-        self._life += 1
-        self._waiting = None
+        self._process_generation += 1
+        self._deferred_calls = None
         self._ports.clear()
         for transport in list(self._open):
-            transport.reset(tells_own_side=False)
+            transport.reset(notifies_local=False)
         self._open.clear()
 
     def power_off(self) -> None:
         """End the process without a word to anybody; the host stays dark until `power_on`."""
-        self._life += 1
-        self._is_dark = True
+        self._process_generation += 1
+        self._is_powered_off = True
         self._ports.clear()
         self._open.clear()
 
     def power_on(self) -> None:
         """Let packets arrive again."""
-        self._is_dark = False
+        self._is_powered_off = False
 
     def freeze(self) -> None:
         """Stand still; what arrives waits."""
-        self._waiting = collections.deque()
+        self._deferred_calls = collections.deque()
 
     def wake(self) -> None:
         """Go on where the host stood still."""
-        waiting = self._waiting or collections.deque()
-        self._waiting = None
-        for call in waiting:
+        deferred_calls = self._deferred_calls or collections.deque()
+        self._deferred_calls = None
+        for call in deferred_calls:
             self.run(call)
 
     def next_port(self) -> int:
@@ -251,24 +251,24 @@
         self._next_port += 1
         return self._next_port
 
-    def listening(self, port: int) -> _Listening | None:
+    def listening_port(self, port: int) -> _ListeningPort | None:
         """Find who listens on a port."""
         return self._ports.get(port)
 
-    def forget_port(self, port: int) -> None:
+    def close_port(self, port: int) -> None:
         """Stop listening on a port."""
         self._ports.pop(port, None)
 
-    def note(self, transport: memory_transport.MemoryTransport) -> None:
+    def add_transport(self, transport: memory_transport.MemoryTransport) -> None:
         """Note an open socket."""
         self._open[transport] = None
 
-    def forget(self, transport: memory_transport.MemoryTransport) -> None:
+    def remove_transport(self, transport: memory_transport.MemoryTransport) -> None:
         """Note that a socket is closed."""
         self._open.pop(transport, None)
 
 
-class _Listening:
+class _ListeningPort:
     def __init__(self, host: Host, port: int, factory: Any) -> None:
         self._host = host
         self.port = port
@@ -279,14 +279,14 @@
 
     def stopListening(self) -> None:  # noqa: N802
         """Stop accepting connections."""
-        self._host.forget_port(self.port)
+        self._host.close_port(self.port)
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
         """Stop accepting connections, at once."""
-        self._host.forget_port(self.port)
+        self._host.close_port(self.port)
 
 
-class _Connecting:
+class _ConnectionAttempt:
     """A connection that is being opened."""
 
     def __init__(self, host: Host, peer: str, port: int, factory: Any) -> None:
@@ -295,34 +295,34 @@
         self._port = port
         self._factory = factory
         self.timer: Any = None
-        self._is_over = False
+        self._is_finished = False
 
-    def arrive(self) -> None:
+    def reach_peer(self) -> None:
         """Reach the other host."""
         network = self._host.network
-        there = network.host(self._peer)
-        listening = there.listening(self._port)
-        if listening is None:
-            network.carry(
+        remote = network.host(self._peer)
+        listening_port = remote.listening_port(self._port)
+        if listening_port is None:
+            network.transmit(
                 self._peer,
                 self._host.address,
                 lambda: self.fail(net_error.ConnectionRefusedError()),
             )
             return
-        protocol = listening.factory.buildProtocol(None)
+        protocol = listening_port.factory.buildProtocol(None)
         if protocol is None:
             return
-        server = memory_transport.MemoryTransport(there, self._host)
-        client = memory_transport.MemoryTransport(self._host, there)
+        server = memory_transport.MemoryTransport(remote, self._host)
+        client = memory_transport.MemoryTransport(self._host, remote)
         server.peer, client.peer = client, server
         server.open(protocol)
-        network.carry(self._peer, self._host.address, lambda: self._succeed(client))
+        network.transmit(self._peer, self._host.address, lambda: self._succeed(client))
 
     def _succeed(self, client: memory_transport.MemoryTransport) -> None:
-        if self._is_over:
-            client.reset(tells_own_side=False)
+        if self._is_finished:
+            client.reset(notifies_local=False)
             return
-        self._is_over = True
+        self._is_finished = True
         self.timer.cancel()
         client.open(self._factory.buildProtocol(None))
 
@@ -332,9 +332,9 @@
 
     def fail(self, error: Exception) -> None:
         """Report that there is no connection."""
-        if self._is_over:
+        if self._is_finished:
             return
-        self._is_over = True
+        self._is_finished = True
         if self.timer.active():
             self.timer.cancel()
         self._factory.clientConnectionFailed(None, failure.Failure(error))
--- a/src/lineworks/standins/memory_transport.py
+++ b/src/lineworks/standins/memory_transport.py
@@ -18,11 +18,11 @@
     delay: Callable[[str, str], float]
     """One-way seconds between two addresses."""
 
-    def carry(self, sender: str, receiver: str, deliver: Callable[[], None]) -> None:
+    def transmit(self, sender: str, receiver: str, deliver: Callable[[], None]) -> None:
         """Deliver something after the way's delay."""
 
 
-class Machine(Protocol):
+class TransportHost(Protocol):
     """What a connection's end needs of its host."""
 
     address: str
@@ -41,17 +41,17 @@
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:  # noqa: N802
         """Schedule a call."""
 
-    def note(self, transport: MemoryTransport) -> None:
+    def add_transport(self, transport: MemoryTransport) -> None:
         """Note an open socket."""
 
-    def forget(self, transport: MemoryTransport) -> None:
+    def remove_transport(self, transport: MemoryTransport) -> None:
         """Note that a socket is closed."""
 
 
 class MemoryTransport:
     """One end of a connection."""
 
-    def __init__(self, host: Machine, there: Machine) -> None:
+    def __init__(self, host: TransportHost, remote: TransportHost) -> None:
         """Make an end; `open` connects it.
 
         Args:
@@ -59,12 +59,12 @@
             there: The other host.
         """
         self._host = host
-        self._there = there
+        self._remote = remote
         self._protocol: Any = None
         self.peer: MemoryTransport | None = None
-        self._early: list[Callable[[], None]] = []
+        self._undelivered: list[Callable[[], None]] = []
         self.disconnecting = False
-        self.is_mute = False
+        self.drops_sent_data = False
         """Whether all that is sent is lost."""
 
     def open(self, protocol: Any) -> None:
@@ -74,10 +74,10 @@
             protocol: Takes what arrives.
         """
         self._protocol = protocol
-        self._host.note(self)
+        self._host.add_transport(self)
         protocol.makeConnection(self)
-        early, self._early = self._early, []
-        for call in early:
+        undelivered, self._undelivered = self._undelivered, []
+        for call in undelivered:
             call()
 
     def write(self, data: bytes) -> None:
@@ -98,50 +98,50 @@
 
     def getHandle(self) -> Any:  # noqa: N802
         """Give a socket whose options can be set without effect."""
-        return _Socket(self._host, self._there)
+        return _SocketOptions(self._host, self._remote)
 
     def loseConnection(self) -> None:  # noqa: N802
         """Close in order."""
         if self._protocol is None or self.disconnecting:
             return
         self.disconnecting = True
-        self._send(lambda peer: peer._on_end(net_error.ConnectionDone()))
-        self._host.callLater(0, self._on_end, net_error.ConnectionDone())
+        self._send(lambda peer: peer._on_closed(net_error.ConnectionDone()))
+        self._host.callLater(0, self._on_closed, net_error.ConnectionDone())
 
     def abortConnection(self) -> None:  # noqa: N802
         """Close with a reset."""
-        self.reset(tells_own_side=True)
+        self.reset(notifies_local=True)
 
-    def reset(self, tells_own_side: bool) -> None:
+    def reset(self, notifies_local: bool) -> None:
         """Reset the connection.
 
         Args:
             tells_own_side: Whether the own protocol hears of it.
         """
-        self._send(lambda peer: peer._on_end(net_error.ConnectionLost()))
-        if tells_own_side:
-            self._host.callLater(0, self._on_end, net_error.ConnectionLost())
+        self._send(lambda peer: peer._on_closed(net_error.ConnectionLost()))
+        if notifies_local:
+            self._host.callLater(0, self._on_closed, net_error.ConnectionLost())
         else:
             self._protocol = None
-            self._host.forget(self)
+            self._host.remove_transport(self)
 
-    def lose(self) -> None:
+    def reset_at_once(self) -> None:
         """Reset the connection, and tell the own protocol at once."""
-        self._send(lambda peer: peer._on_end(net_error.ConnectionLost()))
-        self._on_end(net_error.ConnectionLost())
+        self._send(lambda peer: peer._on_closed(net_error.ConnectionLost()))
+        self._on_closed(net_error.ConnectionLost())
 
     def _send(self, deliver: Callable[[MemoryTransport], None]) -> None:
         peer = self.peer
         assert peer is not None
-        if self.is_mute:
+        if self.drops_sent_data:
             return
-        self._host.network.carry(
-            self._host.address, self._there.address, lambda: peer._take(lambda: deliver(peer))
+        self._host.network.transmit(
+            self._host.address, self._remote.address, lambda: peer._receive(lambda: deliver(peer))
         )
 
-    def _take(self, call: Callable[[], None]) -> None:
+    def _receive(self, call: Callable[[], None]) -> None:
         if self._protocol is None:
-            self._early.append(call)
+            self._undelivered.append(call)
         else:
             call()
 
@@ -149,20 +149,20 @@
         if self._protocol is not None and not self.disconnecting:
             self._protocol.dataReceived(data)
 
-    def _on_end(self, error: Exception) -> None:
+    def _on_closed(self, error: Exception) -> None:
         protocol = self._protocol
         self._protocol = None
-        self._host.forget(self)
+        self._host.remove_transport(self)
         if protocol is not None:
             protocol.connectionLost(failure.Failure(error))
 
 
-class _Socket:
+class _SocketOptions:
     """What can be asked of a connection's socket."""
 
-    def __init__(self, host: Machine, there: Machine) -> None:
+    def __init__(self, host: TransportHost, remote: TransportHost) -> None:
         self._host = host
-        self._there = there
+        self._remote = remote
 
     def setsockopt(self, *args: Any) -> None:
         """Do nothing."""
@@ -170,8 +170,8 @@
     def getsockopt(self, level: int, option: int, size: int) -> bytes:
         """Tell the round trip and how long data waited, as Linux does in its `tcp_info`."""
         delay = self._host.network.delay
-        there, back = self._there.address, self._host.address
-        seconds = delay(there, back) + delay(back, there)
-        waited = self._host.seconds() - self._host.arrived_at
-        info = struct.pack("=52xI12xI", int(waited * 1000), int(seconds * 1e6))
+        remote, back = self._remote.address, self._host.address
+        seconds = delay(remote, back) + delay(back, remote)
+        unread_for = self._host.seconds() - self._host.arrived_at
+        info = struct.pack("=52xI12xI", int(unread_for * 1000), int(seconds * 1e6))
         return info.ljust(size, b"\0")
--- a/src/lineworks/standins/shapes.py
+++ b/src/lineworks/standins/shapes.py
@@ -28,7 +28,7 @@
     halls: tuple[str, ...]
     """Data halls, over which services are spread."""
 
-    is_paired: bool = True
+    replicas_share_hall: bool = True
     """Whether the replicas of a service stand in one hall; otherwise in following halls."""
 
 
@@ -59,8 +59,8 @@
     for number in range(shape.services):
         service = f"{shape.app}-{number:03d}"
         for replica in range(shape.replicas):
-            step = 0 if shape.is_paired else replica
-            hall = shape.halls[(number + step) % len(shape.halls)]
+            hall_offset = 0 if shape.replicas_share_hall else replica
+            hall = shape.halls[(number + hall_offset) % len(shape.halls)]
             planned.append(PlannedTarget(f"{service}-{'abcdefgh'[replica]}", service, hall))
     return planned
 
@@ -84,7 +84,7 @@
             target.service,
             {
                 "labels": {"app": shape.app},
-                "layouts": _layouts(target.service, layouts or {"base": 1}),
+                "layouts": _shards_by_layout(target.service, layouts or {"base": 1}),
                 "targets": [],
             },
         )
@@ -101,9 +101,9 @@
     return items
 
 
-def _layouts(service: str, layouts: dict[str, int]) -> dict[str, list[str]]:
-    named = {}
+def _shards_by_layout(service: str, layouts: dict[str, int]) -> dict[str, list[str]]:
+    shards = {}
     for layout, count in layouts.items():
         suffixes = [""] if count == 1 else [f".{number}" for number in range(count)]
-        named[layout] = [f"{service}{suffix}" for suffix in suffixes]
-    return named
+        shards[layout] = [f"{service}{suffix}" for suffix in suffixes]
+    return shards
--- a/src/lineworks/standins/site.py
+++ b/src/lineworks/standins/site.py
@@ -83,11 +83,11 @@
             items.update(shapes.service_items(shape, ports))
         return items
 
-    def hold(self, held: frozenset[catalog.Snapshot]) -> None:
+    def hold(self, snapshots: frozenset[catalog.Snapshot]) -> None:
         """Change what every target holds.
 
         Args:
             held: The snapshots.
         """
         for target in self.targets.values():
-            target.model.holds = held
+            target.model.holds = snapshots
--- a/src/lineworks/standins/target_model.py
+++ b/src/lineworks/standins/target_model.py
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Books:
+class TargetCounters:
     """What a target counts itself."""
 
     started: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
@@ -124,13 +124,13 @@
         self._queue: collections.deque[_Job] = collections.deque()
         self._stalled_until = 0.0
         self._cold_until = 0.0
-        self._cold_for = 1.0
+        self._cold_seconds = 1.0
         self._left_at = math.inf
-        self._starts = 0
+        self._restarts = 0
         self.incarnation = f"{name}#0"
         self.is_down = False
         self.holds = holds
-        self.books = Books()
+        self.books = TargetCounters()
         self.report_override: Callable[[replicas.StatusReport], replicas.StatusReport] | None = None
 
     @property
@@ -189,16 +189,20 @@
             self.books.cancelled += 1
             if running.timer is not None and running.timer.active():
                 running.timer.cancel()
-            found = verdict.may_have_run(verdict.Reason.CANCELLED, "cancelled while running")
-            running.on_outcome(ports.Outcome(found, report=self.report()))
-            self._next()
+            outcome_verdict = verdict.may_have_run(
+                verdict.Reason.CANCELLED, "cancelled while running"
+            )
+            running.on_outcome(ports.Outcome(outcome_verdict, report=self.report()))
+            self._start_queued()
             return
         for job in self._queue:
             if job.attempt.id == attempt_id:
                 self._queue.remove(job)
                 self.books.cancelled += 1
-                found = verdict.not_run(verdict.Reason.CANCELLED, "cancelled while waiting")
-                job.on_outcome(ports.Outcome(found, report=self.report()))
+                outcome_verdict = verdict.not_run(
+                    verdict.Reason.CANCELLED, "cancelled while waiting"
+                )
+                job.on_outcome(ports.Outcome(outcome_verdict, report=self.report()))
                 return
 
     def stall(self, seconds: float) -> None:
@@ -235,8 +239,8 @@
             cold_seconds: Seconds for which it is slower than usual.
         """
         self.is_down = False
-        self._starts += 1
-        self.incarnation = f"{self.name}#{self._starts}"
+        self._restarts += 1
+        self.incarnation = f"{self.name}#{self._restarts}"
         self._left_at = math.inf
         self._stalled_until = 0.0
         self.warm_up(cold_seconds)
@@ -247,7 +251,7 @@
         Args:
             cold_seconds: How long.
         """
-        self._cold_for = max(cold_seconds, 1e-9)
+        self._cold_seconds = max(cold_seconds, 1e-9)
         self._cold_until = self._clock.seconds() + cold_seconds
 
     def _refusal(self, attempt: ports.Attempt) -> verdict.Verdict | None:
@@ -265,8 +269,8 @@
     def _start(self, job: _Job) -> None:
         now = self._clock.seconds()
         self.books.total_started += 1
-        cause = job.attempt.body.partition(b"|")[0].decode(errors="replace")
-        self.books.started[f"{cause}/{job.attempt.shard}"] += 1
+        query_name = job.attempt.body.partition(b"|")[0].decode(errors="replace")
+        self.books.started[f"{query_name}/{job.attempt.shard}"] += 1
         if now > self._left_at + LEAVING_GRACE:
             self.books.started_after_leaving += 1
         self._running[job.attempt.id] = job
@@ -276,37 +280,37 @@
     def _slowdown(self, now: float) -> float:
         if now >= self._cold_until:
             return 1.0
-        return 1.0 + (COLD_SLOWDOWN - 1.0) * (self._cold_until - now) / self._cold_for
+        return 1.0 + (COLD_SLOWDOWN - 1.0) * (self._cold_until - now) / self._cold_seconds
 
     def _finish(self, job: _Job) -> None:
-        late = self._stalled_until - self._clock.seconds()
-        if late > 0:
-            job.timer = self._clock.callLater(late, self._finish, job)
+        stalled_for = self._stalled_until - self._clock.seconds()
+        if stalled_for > 0:
+            job.timer = self._clock.callLater(stalled_for, self._finish, job)
             return
         del self._running[job.attempt.id]
         attempt = job.attempt
         snapshot = attempt.snapshot or max(self.holds, default=None)
         if snapshot is not None and snapshot not in self.holds:
-            found = verdict.ran(verdict.Reason.SNAPSHOT_GONE, "dropped while it ran")
-            job.on_outcome(ports.Outcome(found, report=self.report()))
+            outcome_verdict = verdict.ran(verdict.Reason.SNAPSHOT_GONE, "dropped while it ran")
+            job.on_outcome(ports.Outcome(outcome_verdict, report=self.report()))
         else:
-            body = stamp(attempt.body, attempt.shard, snapshot)
+            body = format_reply(attempt.body, attempt.shard, snapshot)
             job.on_outcome(ports.Outcome(verdict.OK, snapshot, body, self.report()))
-        self._next()
+        self._start_queued()
 
-    def _next(self) -> None:
+    def _start_queued(self) -> None:
         now = self._clock.seconds()
         while self._queue and len(self._running) < self._slots:
             job = self._queue.popleft()
             if job.attempt.deadline <= now:
-                found = verdict.not_run(verdict.Reason.DEADLINE, "expired in the queue")
+                outcome_verdict = verdict.not_run(verdict.Reason.DEADLINE, "expired in the queue")
                 self.books.refused += 1
-                job.on_outcome(ports.Outcome(found, report=self.report()))
+                job.on_outcome(ports.Outcome(outcome_verdict, report=self.report()))
                 continue
             self._start(job)
 
 
-def stamp(body: bytes, shard: str, snapshot: catalog.Snapshot | None) -> bytes:
+def format_reply(body: bytes, shard: str, snapshot: catalog.Snapshot | None) -> bytes:
     """Make a reply that names what it answers.
 
     Args:
@@ -317,5 +321,5 @@
     Returns:
         `query|shard|snapshot`.
     """
-    cause = body.partition(b"|")[0].decode(errors="replace")
-    return f"{cause}|{shard}|{snapshot}".encode()
+    query_name = body.partition(b"|")[0].decode(errors="replace")
+    return f"{query_name}|{shard}|{snapshot}".encode()
--- a/src/lineworks/standins/target_server.py
+++ b/src/lineworks/standins/target_server.py
@@ -37,7 +37,7 @@
         super().__init__(resource)
         self._cap = cap
         self.open = 0
-        self.most = 0
+        self.peak = 0
         self.refused = 0
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
@@ -46,12 +46,12 @@
             return None
         channel: Any = super().buildProtocol(addr)
         self.open += 1
-        self.most = max(self.most, self.open)
-        lost = channel.connectionLost
+        self.peak = max(self.peak, self.open)
+        report_loss = channel.connectionLost
 
         def on_lost(reason: Any) -> None:
             self.open -= 1
-            lost(reason)
+            report_loss(reason)
 
         channel.connectionLost = on_lost
         return channel
@@ -80,9 +80,9 @@
         return number
 
     @property
-    def most_connections(self) -> int:
+    def peak_connections(self) -> int:
         """Connections open at once, at most so far."""
-        return self._site.most
+        return self._site.peak
 
     @property
     def refused_connections(self) -> int:
@@ -130,13 +130,13 @@
             request.setHeader(name, value)
         if outcome.snapshot is not None:
             request.setHeader(target_http.SNAPSHOT, str(outcome.snapshot))
-        found = outcome.verdict
-        if found.is_ok:
+        outcome_verdict = outcome.verdict
+        if outcome_verdict.is_ok:
             return outcome.body
-        request.setResponseCode(503 if found.is_not_run else 500)
-        if found.is_not_run:
-            request.setHeader(target_http.NOT_RUN, _REFUSAL_BY_REASON[found.reason])
-        return found.detail.encode()
+        request.setResponseCode(503 if outcome_verdict.is_not_run else 500)
+        if outcome_verdict.is_not_run:
+            request.setHeader(target_http.NOT_RUN, _REFUSAL_BY_REASON[outcome_verdict.reason])
+        return outcome_verdict.detail.encode()
 
     def _cancel(self, request: Any) -> bytes:
         self.model.cancel(request.getHeader(target_http.REQUEST) or "")
@@ -162,7 +162,7 @@
             "cancelled": books.cancelled,
             "started_after_leaving": books.started_after_leaving,
             "doubled": sum(1 for count in books.started.values() if count > 1),
-            "most_connections": self.most_connections,
+            "most_connections": self.peak_connections,
             "at": time.time(),
         }
         return http_server.write_json(request, document)
--- a/tests/test_suspect_reports.py
+++ b/tests/test_suspect_reports.py
@@ -44,7 +44,7 @@
             target.faults.loses_answers = number % 2 == 0
         replies = [world.ask(name, f"{path}{number}") for name in world.nodes]
         world.run(0.5)
-        assert all(reply.is_over for reply in replies)
+        assert all(reply.is_finished for reply in replies)
     world.run(2.0)
     assert not found
 
--- a/tests/test_target_lives.py
+++ b/tests/test_target_lives.py
@@ -115,7 +115,7 @@
         target.host.power_on()
         world.restart(target).work = lambda: 0.01
     world.run(1.7)
-    assert reply.is_over
+    assert reply.is_finished
     assert reply.status == 502
 
 
