--- a/bench/fatal.py
+++ b/bench/fatal.py
@@ -106,7 +106,7 @@
         self.fatal = tuple(fatal)
         self.rng = random.Random(seed)
         self.world = deployment.Deployment(fakes.VirtualClock(), seed)
-        self.world.on_start = self._watch
+        self.world.on_restart = self._watch
         self.accounts = {asked: Account() for asked in self.fatal}
         self.ordinary: list[Ordinary] = []
         """All ordinary requests so far."""
--- a/src/lineworks/programs/demo.py
+++ b/src/lineworks/programs/demo.py
@@ -221,9 +221,9 @@
 
     async def _reversion(self) -> None:
         """Load the new version everywhere, then drop the old one."""
-        self._site.hold(frozenset({site.FIRST_SNAPSHOT, NEXT_SNAPSHOT}))
+        self._site.set_snapshots(frozenset({site.FIRST_SNAPSHOT, NEXT_SNAPSHOT}))
         await task.sleep(self._reactor, 1.2)
-        self._site.hold(frozenset({NEXT_SNAPSHOT}))
+        self._site.set_snapshots(frozenset({NEXT_SNAPSHOT}))
 
     async def _reconfigure(self) -> None:
         version = self._entries[0].keeper.version
--- a/src/lineworks/standins/deployment.py
+++ b/src/lineworks/standins/deployment.py
@@ -94,7 +94,7 @@
         """Extra attempts that the instances may spend together."""
         self.without: frozenset[mechanisms.Mechanism] = frozenset()
         """Mechanisms that instances which start from now on do without."""
-        self.on_start: Callable[[http_target.HttpTarget], None] = lambda target: None
+        self.on_restart: Callable[[http_target.HttpTarget], None] = lambda target: None
         """Called with each target that starts again."""
         self.gather_rate = 0.0
         """Shards a second that instances which start from now on say they can ask; 0 for none."""
@@ -197,7 +197,7 @@
         if self.tells_births:
             target.born = CLOCK_START_MS + int(self.clock.seconds() * 1000)
         self.targets[target.name] = target
-        self.on_start(target)
+        self.on_restart(target)
         target.host.close_port(target.port)
         target.listen()
         self.announce(target)
--- a/src/lineworks/standins/site.py
+++ b/src/lineworks/standins/site.py
@@ -83,7 +83,7 @@
             items.update(shapes.service_items(shape, ports))
         return items
 
-    def hold(self, snapshots: frozenset[catalog.Snapshot]) -> None:
+    def set_snapshots(self, snapshots: frozenset[catalog.Snapshot]) -> None:
         """Change what every target holds.
 
         Args:
--- a/src/lineworks/standins/target_model.py
+++ b/src/lineworks/standins/target_model.py
@@ -80,13 +80,13 @@
     """Requests cancelled, whether they had started or not."""
 
     started_after_leaving: int = 0
-    """Requests started more than `LEAVING_GRACE` seconds after it said it was leaving."""
+    """Requests started more than `LEAVING_GRACE_SECONDS` seconds after it said it was leaving."""
 
     total_started: int = 0
     """All starts."""
 
 
-LEAVING_GRACE = 3.0
+LEAVING_GRACE_SECONDS = 3.0
 """Seconds after which a leaving target must get no new work."""
 
 
@@ -125,7 +125,7 @@
         self._stalled_until = 0.0
         self._cold_until = 0.0
         self._cold_seconds = 1.0
-        self._left_at = math.inf
+        self._leaving_since = math.inf
         self._restarts = 0
         self.incarnation = f"{name}#0"
         self.is_down = False
@@ -156,7 +156,7 @@
             len(self._running),
             len(self._queue),
             now < self._cold_until,
-            now >= self._left_at,
+            now >= self._leaving_since,
         )
         return self.report_override(report) if self.report_override else report
 
@@ -215,7 +215,7 @@
 
     def leave(self) -> None:
         """Say from now on that it is leaving, and refuse new work after the grace."""
-        self._left_at = self._clock.seconds()
+        self._leaving_since = self._clock.seconds()
 
     def go_down(self) -> list[ports.Attempt]:
         """Lose everything at once.
@@ -241,7 +241,7 @@
         self.is_down = False
         self._restarts += 1
         self.incarnation = f"{self.name}#{self._restarts}"
-        self._left_at = math.inf
+        self._leaving_since = math.inf
         self._stalled_until = 0.0
         self.warm_up(cold_seconds)
 
@@ -256,7 +256,7 @@
 
     def _refusal(self, attempt: ports.Attempt) -> verdict.Verdict | None:
         now = self._clock.seconds()
-        if now >= self._left_at:
+        if now >= self._leaving_since:
             return verdict.not_run(verdict.Reason.LEAVING, "leaving")
         if attempt.snapshot is not None and attempt.snapshot not in self.holds:
             return verdict.not_run(verdict.Reason.SNAPSHOT_GONE, "not held")
@@ -269,9 +269,9 @@
     def _start(self, job: _Job) -> None:
         now = self._clock.seconds()
         self.books.total_started += 1
-        query_name = job.attempt.body.partition(b"|")[0].decode(errors="replace")
-        self.books.started[f"{query_name}/{job.attempt.shard}"] += 1
-        if now > self._left_at + LEAVING_GRACE:
+        request_name = job.attempt.body.partition(b"|")[0].decode(errors="replace")
+        self.books.started[f"{request_name}/{job.attempt.shard}"] += 1
+        if now > self._leaving_since + LEAVING_GRACE_SECONDS:
             self.books.started_after_leaving += 1
         self._running[job.attempt.id] = job
         seconds = self._times.sample(self._rng) * self._slowdown(now)
@@ -321,5 +321,5 @@
     Returns:
         `query|shard|snapshot`.
     """
-    query_name = body.partition(b"|")[0].decode(errors="replace")
-    return f"{query_name}|{shard}|{snapshot}".encode()
+    request_name = body.partition(b"|")[0].decode(errors="replace")
+    return f"{request_name}|{shard}|{snapshot}".encode()
--- a/tests/test_memory_network.py
+++ b/tests/test_memory_network.py
@@ -12,24 +12,24 @@
     return clock, network.host("10.1.0.1")
 
 
-def test_a_timer_that_falls_due_in_a_freeze_can_be_cancelled_when_the_host_wakes():
+def test_a_timer_due_during_a_freeze_can_still_be_cancelled_on_wake():
     clock, host = make_host()
-    made = []
-    second = host.callLater(0.2, made.append, "second")
+    calls = []
+    second = host.callLater(0.2, calls.append, "second")
     host.callLater(0.1, lambda: second.active() and second.cancel())
-    third = host.callLater(0.3, made.append, "third")
+    third = host.callLater(0.3, calls.append, "third")
     host.freeze()
     clock.run_until(1.0)
     assert third.active()
     host.wake()
-    assert made == ["third"]
+    assert calls == ["third"]
     assert not third.active()
 
 
-def test_a_timer_of_a_process_that_is_gone_never_fires():
+def test_timers_of_a_killed_process_never_fire():
     clock, host = make_host()
-    made = []
-    host.callLater(0.1, made.append, "late")
+    calls = []
+    host.callLater(0.1, calls.append, "late")
     host.kill()
     clock.run_until(1.0)
-    assert made == []
+    assert calls == []
--- a/tests/test_priced_rules.py
+++ b/tests/test_priced_rules.py
@@ -6,7 +6,7 @@
 
 from tests import test_forwarding
 
-PARTS = ("left", "right")
+SPLIT_SERVICES = ("left", "right")
 SPLIT = {
     "Name": "split",
     "PathPrefix": "/split/",
@@ -14,9 +14,9 @@
 }
 
 
-def with_split():
+def build_with_split():
     world = test_forwarding.build()
-    for service in PARTS:
+    for service in SPLIT_SERVICES:
         for hall in ("akl", "wlg", "chc"):
             world.add_target(service, hall)
     world.configure([test_forwarding.SEARCH, test_forwarding.READ, SPLIT])
@@ -40,16 +40,16 @@
     return found
 
 
-def test_a_split_keeps_its_shares():
-    world = with_split()
+def test_a_weighted_split_follows_its_weights():
+    world = build_with_split()
     replies = ask_split(world)
     assert {reply.status for reply in replies.values()} == {200}
     found = services_of(world, replies)
     assert abs(found["left"] - 150) <= 1
 
 
-def test_what_a_part_without_room_cannot_take_is_refused_and_not_moved():
-    world = with_split()
+def test_requests_for_an_overloaded_split_service_are_refused_and_not_moved_to_the_other():
+    world = build_with_split()
     for target in test_forwarding.targets_of(world, "left"):
         target.faults.sheds = True
     replies = ask_split(world)
@@ -58,7 +58,7 @@
     assert statuses == {200: 50, 503: 150}
 
 
-def test_a_search_whose_targets_have_answered_is_not_refused_as_not_run():
+def test_a_search_that_some_targets_answered_is_not_refused_as_not_run():
     # Nine of twelve shards are needed; four refuse whatever they get.
     world = test_forwarding.build()
     for shard in test_forwarding.SHARDS[:4]:
@@ -70,7 +70,7 @@
     assert reply.status in (502, 504)
 
 
-def test_a_caller_that_left_while_an_instance_started_costs_no_target():
+def test_requests_of_callers_gone_during_start_are_not_sent_to_targets():
     world = test_forwarding.build()
     world.host_of("akl-1").kill()
     world.server.faults.delay = 0.05
@@ -84,7 +84,7 @@
     assert world.runs_of("r1") == []
 
 
-def test_a_wake_after_a_freeze_takes_new_connections():
+def test_an_instance_accepts_connections_after_a_freeze():
     world = test_forwarding.build()
     host = world.host_of("akl-1")
     host.freeze()
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -5,7 +5,7 @@
 from tests import test_forwarding
 
 
-def test_searches_at_once_are_answered_as_soon_as_their_targets_have_room():
+def test_concurrent_searches_are_answered_as_soon_as_target_slots_are_free():
     # Two targets a shard, each with room for two requests of 0.03 s: two rounds, and the ways.
     world = test_forwarding.build()
     replies = [world.ask("akl-1", "/search/q", attempt=f"q{number}") for number in range(8)]
--- a/tests/test_search_retries.py
+++ b/tests/test_search_retries.py
@@ -41,7 +41,7 @@
     assert reply.seconds < 1.0
 
 
-def test_a_front_learns_which_remote_targets_are_unreachable():
+def test_unreachable_remote_targets_are_not_retried_in_every_search():
     # Every search first tried crashed targets through a gatherer again.
     world = test_forwarding.build()
     front = world.nodes["akl-1"]
--- a/tests/test_true_verdicts.py
+++ b/tests/test_true_verdicts.py
@@ -8,7 +8,7 @@
 from tests import test_forwarding
 
 
-def go_dark(world, services):
+def power_off_targets(world, services):
     """Let targets neither answer nor refuse connections."""
     for service in services:
         for target in test_forwarding.targets_of(world, service):
@@ -20,27 +20,27 @@
 
 
 @pytest.mark.parametrize("method", ["read", "bill"])
-def test_a_request_whose_targets_are_dark_until_its_deadline_was_not_run(method):
+def test_a_request_with_unreachable_targets_is_refused_as_not_run_at_its_deadline(method):
     world = test_forwarding.build()
-    go_dark(world, ["shelf"])
+    power_off_targets(world, ["shelf"])
     reply = world.ask("akl-1", f"/{method}/x", budget=0.1, attempt="r1")
     world.run(1.0)
     assert not world.runs_of("r1")
     assert was_refused_as_not_run(reply)
 
 
-def test_a_search_whose_targets_are_dark_until_its_deadline_was_not_run():
+def test_a_search_with_unreachable_targets_is_refused_as_not_run_at_its_deadline():
     world = test_forwarding.build()
-    go_dark(world, test_forwarding.SHARDS)
+    power_off_targets(world, test_forwarding.SHARDS)
     reply = world.ask("akl-1", "/search/q", budget=0.1, attempt="q1")
     world.run(1.0)
     assert not world.runs_of("q1")
     assert was_refused_as_not_run(reply)
 
 
-def test_a_request_that_waits_for_a_connection_when_its_process_ends_was_not_run():
+def test_a_request_waiting_for_a_connection_is_refused_as_not_run_when_the_instance_stops():
     world = test_forwarding.build()
-    go_dark(world, ["shelf"])
+    power_off_targets(world, ["shelf"])
     reply = world.ask("akl-1", "/bill/x", "POST", b"note", attempt="b1")
     world.run(0.01)
     world.nodes["akl-1"]._front.end_all()
@@ -49,9 +49,9 @@
     assert was_refused_as_not_run(reply)
 
 
-def test_a_search_that_one_target_got_is_no_refusal_whatever_became_of_the_others():
+def test_a_search_that_reached_one_target_is_not_refused_as_not_run():
     world = test_forwarding.build()
-    go_dark(world, test_forwarding.SHARDS[1:])
+    power_off_targets(world, test_forwarding.SHARDS[1:])
     for target in test_forwarding.targets_of(world, test_forwarding.SHARDS[0]):
         target.work = lambda: 5.0
     reply = world.ask("akl-1", "/search/q", budget=0.1, attempt="q1")
@@ -60,19 +60,19 @@
     assert reply.status in (502, 504)
 
 
-def test_a_search_whose_gatherers_fell_silent_is_no_refusal():
+def test_a_search_whose_gatherers_freeze_is_not_refused_as_not_run():
     world = test_forwarding.build()
     reply = world.ask("akl-1", "/search/q", budget=0.1, attempt="q1")
     world.run(0.002)
     for name in world.nodes:
         if name != "akl-1":
             world.host_of(name).freeze()
-    go_dark(world, test_forwarding.SHARDS)
+    power_off_targets(world, test_forwarding.SHARDS)
     world.run(1.0)
     assert reply.status in (502, 504)
 
 
-def test_a_request_that_a_target_got_is_no_refusal_at_its_deadline():
+def test_a_request_that_reached_a_target_times_out_at_its_deadline():
     world = test_forwarding.build()
     for target in test_forwarding.targets_of(world, "shelf"):
         target.work = lambda: 5.0
@@ -82,7 +82,7 @@
     assert reply.status == 504
 
 
-def test_a_search_that_ran_at_the_target_of_a_trial_is_no_refusal_where_others_are_gone(
+def test_a_trial_search_that_ran_at_one_target_is_not_refused_as_not_run(
     monkeypatch,
 ):
     world = test_forwarding.build()
