--- a/src/lineworks/standins/__init__.py
+++ b/src/lineworks/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for targets."""
+"""Stand-ins for the platform, the targets and the network, for tests and benchmarks."""
--- a/src/lineworks/standins/deployment.py
+++ b/src/lineworks/standins/deployment.py
@@ -1,7 +1,7 @@
-"""A whole deployment in one process: store, targets and instances on a network in memory.
+"""A whole deployment in one process: store, targets and instances on an in-memory network.
 
-Three data halls in three regions, as on the users' sheets. Instances are the real services of
-`lineworks.forwarding.node`; only sockets and clocks are stood in for.
+It spans three data halls in three regions, as the users' deployments do. Instances run the real
+`lineworks.forwarding.node`; only sockets and clocks are simulated.
 """
 
 from __future__ import annotations
@@ -29,54 +29,59 @@
     from collections.abc import Callable, Sequence
 
 HALLS = ("akl", "wlg", "chc")
-"""Data halls, each a region of its own."""
+"""Data halls; each is a region of its own."""
 
 STORE_ADDRESS = "10.200.0.1"
 STORE_PORT = 8102
 CALLER_PORT = 8104
 READY_PORT = 8108
 ENTRY_LAPSE_SECONDS = 3.6
-"""Seconds after which the entry of a target that ended goes: three of its check-ins."""
+"""Seconds until the entry of a crashed target lapses: three of its check-in intervals."""
 CLOCK_START_MS = 1_700_000_000_000
-"""Unix millisecond at which the clock of a deployment starts."""
+"""Unix time, in milliseconds, that corresponds to second 0 of a deployment's clock."""
 _FIRST_TARGET_SUBNET = 64
 _HOSTS_PER_SUBNET = 250
 SAME_HALL_DELAY = 0.0005
+"""One-way delay in seconds between hosts of one hall."""
 CROSS_HALL_DELAY = 0.008
+"""One-way delay in seconds between hosts of different halls."""
 CALLER_DELAY = 0.001
+"""One-way delay in seconds between callers and instances."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Reply:
-    """What a caller got, filled in when it comes."""
+    """The response to a caller's request, filled in when it arrives."""
 
     sent_at: float
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b""
     at: float = 0.0
+    """When the response arrived or an open connection failed, on the deployment's clock."""
     broken: str = ""
+    """Why the connection failed; empty if it did not."""
 
     @property
     def is_finished(self) -> bool:
-        """Whether the answer came or the connection broke."""
+        """Whether the response arrived or the connection failed."""
         return bool(self.status or self.broken)
 
     @property
     def seconds(self) -> float:
-        """How long it took."""
+        """Seconds from sending the request until `at`."""
         return self.at - self.sent_at
 
 
 class Deployment:
-    """Store, targets and instances."""
+    """A store, targets and instances on one simulated network."""
 
     def __init__(self, clock: Any, seed: int = 1) -> None:
-        """Start with an empty store and nobody else.
+        """Start with an empty store and neither targets nor instances.
 
         Args:
             clock: A virtual clock with `seconds`, `callLater` and `run_until`.
-            seed: Seed of all random choices of the stand-ins.
+            seed: Seed of the deployment's random numbers, and of those of its instances.
         """
         self.clock = clock
         self.rng = random.Random(seed)
@@ -84,55 +89,60 @@
         self.store = store_model.StoreModel(clock)
         self.server = store_server.StoreServer(clock, self.store)
         self.drill = store_drill.StoreDrill(clock, self.store)
-        """Lets the store come back from an older copy."""
+        """Restores the store from an older copy."""
         self.network.host(STORE_ADDRESS).listenTCP(STORE_PORT, self.server.factory)
         self.runs: list[http_target.Run] = []
         self.targets: dict[str, http_target.HttpTarget] = {}
         self.nodes: dict[str, node.Node] = {}
         self.version = 0
         self.allowance = extra_attempts.Allowance(0.2, 54.0, 10.0)
-        """Extra attempts that the instances may spend together."""
+        """Extra attempts that all instances together may send."""
         self.without: frozenset[mechanisms.Mechanism] = frozenset()
-        """Mechanisms that instances which start from now on do without."""
+        """Mechanisms that are switched off in instances that start from now on."""
         self.on_restart: Callable[[http_target.HttpTarget], None] = lambda target: None
-        """Called with each target that starts again."""
+        """Called with each target that restarts."""
         self.gather_rate = 0.0
-        """Shards a second that instances which start from now on say they can ask; 0 for none."""
+        """Shards per second that instances started from now on announce that they can gather; 0
+        announces no rate."""
         self.cold_seconds = 0.0
-        """Seconds that targets are cold after a start."""
+        """Seconds for which a target counts as cold after its start."""
         self.cold_rate = 0.0
-        """Requests a second that a cold target handles; 0 for no bound."""
+        """Requests per second that a cold target can handle; 0 means no limit."""
         self.workspaces: list[dict[str, Any]] = []
-        """Workspaces of the configurations written from now on, as `documents.workspace` writes
-        them; none where no request needs a key."""
+        """Workspaces in configurations written from now on, in the form of
+        `documents.workspace`; if empty, requests need no key."""
         self.quota_bound = quota.QuotaBound(5.0, 0.1, 20.0)
-        """What instances that start from now on may let through beyond quotas."""
+        """How far instances that start from now on may exceed quotas."""
         self.revocation = access.RevocationPolicy()
-        """What holds at them for keys that were taken away while they heard nothing."""
+        """How instances that start from now on treat revoked keys while they get no updates."""
         self.cold_bound = cold_targets.ColdBound(1.5, 5.0)
-        """What cold targets may get from all instances together."""
+        """Limit on the requests that a cold target gets from all instances together."""
         self.keeps_identities = False
-        """Whether targets that start again do so under the identity that they had."""
+        """Whether a target restarted after a crash keeps its identity."""
         self.has_proxies = False
-        """Whether proxies before the targets accept connections while nobody is behind them."""
+        """Whether a proxy accepts, and at once closes, connections to a crashed target."""
         self.tells_births = True
-        """Whether the entries of targets that start again tell when that was."""
+        """Whether the entries of restarted targets contain their start time."""
         self._halls: dict[str, str] = {}
         self._attempts = 0
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock.
+
+        Args:
+            seconds: By how much.
+        """
         self.clock.run_until(self.clock.seconds() + seconds)
 
     def add_target(
         self, service: str, hall: str, work: Callable[[], float] = lambda: 0.03
     ) -> http_target.HttpTarget:
-        """Start a target and put its entry into the store.
+        """Start a target and write its entry to the store.
 
         Args:
-            service: The service.
-            hall: Its data hall.
-            work: Draws the seconds that a request takes.
+            service: Name of the service that it serves.
+            hall: Data hall that it stands in.
+            work: Returns the seconds that the next request takes.
 
         Returns:
             The target.
@@ -150,20 +160,20 @@
         return target
 
     def announce(self, target: http_target.HttpTarget, state: str = "ready") -> None:
-        """Write a target's entry."""
+        """Write a target's entry to the store."""
         key = documents.target_key(target.name)
         self.store.write(key, documents.encoded(target.entry(state)))
 
     def withdraw(self, target: http_target.HttpTarget) -> None:
-        """Remove a target's entry."""
+        """Remove a target's entry from the store."""
         self.drill.remove(documents.target_key(target.name))
 
     def crash(self, target: http_target.HttpTarget, seconds: float) -> None:
-        """End a target; it starts again later as another process at the same address.
+        """Crash a target and restart it later as a new process at the same address.
 
         Args:
             target: The target.
-            seconds: Until it is back.
+            seconds: Seconds until it restarts.
         """
         target.host.kill()
         if self.has_proxies:
@@ -179,14 +189,14 @@
         self.restart(ended, "" if self.keeps_identities else f"i-{len(self.targets) + 1}")
 
     def restart(self, ended: http_target.HttpTarget, name: str = "") -> http_target.HttpTarget:
-        """Start a target again, at its address, and announce it.
+        """Restart a target at its address and write its entry to the store.
 
         Args:
-            ended: The target as it was.
-            name: Its new identity; the one that it had when not given.
+            ended: The previous process of the target.
+            name: Identity of the new process; if empty, that of the previous one.
 
         Returns:
-            The target as it is.
+            The new process of the target.
         """
         target = http_target.HttpTarget(
             ended.host, name or ended.name, ended.service, ended.hall, ended.work, self.runs
@@ -204,11 +214,11 @@
         return target
 
     def configure(self, routes: Sequence[dict[str, Any]], version: int | None = None) -> None:
-        """Put a configuration into the store.
+        """Write a configuration to the store.
 
         Args:
-            routes: Routes in the platform's form; what is usual may be left out.
-            version: Its version; one more than the last when not given.
+            routes: Routes in the platform's form; fields with default values may be omitted.
+            version: Version of the configuration; by default one more than the last.
         """
         self.version = self.version + 1 if version is None else version
         services = {target.service for target in self.targets.values()}
@@ -218,19 +228,20 @@
         self.store.write(documents.CONFIGURATION_KEY, document)
 
     def evacuate(self, hall: str) -> None:
-        """Ask, as the operators do, to send nothing more to the targets of a data hall."""
+        """Evacuate a data hall: request, as operators do, that its targets get nothing more."""
         self.store.write(documents.evacuation_key(hall), documents.encoded("{}"))
 
     def end_evacuation(self, hall: str) -> None:
-        """Take such a request back."""
+        """Withdraw the request to evacuate a data hall."""
         self.drill.remove(documents.evacuation_key(hall))
 
     def add_node(self, name: str, hall: str) -> node.Node:
         """Start an instance.
 
         Args:
-            name: Its name; a new one gets an address of its own, a known one its old address.
-            hall: Its data hall.
+            name: Name of the instance; a known name gets its previous address, a new one a new
+                address.
+            hall: Data hall that it stands in.
 
         Returns:
             The instance.
@@ -262,7 +273,7 @@
         return started
 
     def address_of(self, name: str, hall: str = "") -> str:
-        """Find the address of an instance, or give it one."""
+        """Return the address of an instance, allocating one for a new name."""
         for address, known in self._halls.items():
             if known.startswith(f"{name}@"):
                 return address
@@ -271,7 +282,7 @@
         return address
 
     def host_of(self, name: str) -> memory_network.Host:
-        """Find the host of an instance."""
+        """Return the host that an instance runs on."""
         return self.network.host(self.address_of(name))
 
     def ask(
@@ -287,16 +298,16 @@
         """Send a request to an instance on a new connection.
 
         Args:
-            name: The instance.
-            path: Path.
-            method: Method.
-            body: Body.
-            budget: Seconds that the caller waits.
-            attempt: Identity of the try; a new one when not given.
-            key: API key; none when not given.
+            name: Name of the instance.
+            path: Path of the request.
+            method: HTTP method.
+            body: Body of the request.
+            budget: The caller's time budget, in seconds.
+            attempt: Identity of the attempt; if empty, a new one.
+            key: API key; if empty, none is sent.
 
         Returns:
-            The reply, filled in as time passes.
+            The reply, which is filled in as the clock advances.
         """
         self._attempts += 1
         attempt = attempt or f"a{self._attempts:06d}"
@@ -304,7 +315,16 @@
         return self.send(name, data)
 
     def send(self, name: str, data: bytes, port: int = CALLER_PORT) -> Reply:
-        """Send bytes to an instance on a new connection and read one answer."""
+        """Send bytes to an instance on a new connection and read one response.
+
+        Args:
+            name: Name of the instance.
+            data: The bytes of the request.
+            port: TCP port to connect to.
+
+        Returns:
+            The reply, which is filled in as the clock advances.
+        """
         reply = Reply(self.clock.seconds())
         caller = self.network.host("10.250.0.1")
         factory = _CallerFactory(self.clock, data, reply)
@@ -312,13 +332,16 @@
         return reply
 
     def is_ready(self, name: str) -> bool:
-        """Ask an instance for its readiness, as the balancer does."""
+        """Query the readiness endpoint of an instance, as the load balancer does.
+
+        Advances the clock by 0.1 s.
+        """
         reply = self.send(name, documents.READINESS_REQUEST, READY_PORT)
         self.run(0.1)
         return reply.status == 200
 
     def runs_of(self, attempt: str) -> list[http_target.Run]:
-        """List what targets ran for one try."""
+        """Return the requests that targets ran for one attempt."""
         return [run for run in self.runs if run.attempt == attempt]
 
     def _delay(self, sender: str, receiver: str) -> float:
@@ -332,17 +355,17 @@
 
 
 class _ProxyWithoutTarget(protocol.Protocol):
-    """A proxy whose target is gone."""
+    """A proxy in front of a target that no longer runs."""
 
     transport: Any
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Close the connection that was accepted."""
+        """Close the accepted connection."""
         self.transport.loseConnection()
 
 
 class _CallerFactory(protocol.ClientFactory):
-    """Opens a caller's connection."""
+    """Creates the caller's end of a connection."""
 
     noisy = False
 
@@ -352,16 +375,16 @@
         self._reply = reply
 
     def buildProtocol(self, addr: Any) -> client_connection.ClientConnection:  # noqa: N802
-        """Make the caller's end."""
+        """Return the caller's end of the connection."""
         return _Caller(self._clock, self._data, self._reply)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
-        """Note that there is no connection."""
+        """Record the failure in the reply."""
         self._reply.broken = type(reason.value).__name__
 
 
 class _Caller(client_connection.ClientConnection):
-    """Sends one request when connected."""
+    """Sends one request once the connection is open."""
 
     def __init__(self, clock: Any, data: bytes, reply: Reply) -> None:
         super().__init__(clock.seconds, lambda connection: None)
--- a/src/lineworks/standins/memory_network.py
+++ b/src/lineworks/standins/memory_network.py
@@ -1,8 +1,8 @@
-"""A network in memory: hosts with addresses, TCP between them, and faults, on any clock.
+"""An in-memory network: hosts with addresses, TCP between them, and fault injection.
 
-Every host looks like Twisted's reactor to the code that runs on it, so whole processes run side
-by side in one test, under a virtual clock, without sockets. Links have delays and can be cut in
-one direction or both; hosts can be killed, frozen, or lose power.
+Each host implements the parts of Twisted's reactor that the code on it uses, so a test can run
+several whole processes side by side under a virtual clock, without sockets. Links have delays and
+can be cut in one direction or both; hosts can be killed, frozen or powered off.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-FIRST_EPHEMERAL_PORT = 40000
-"""First port that connecting sockets get."""
+EPHEMERAL_PORT_BASE = 40000
+"""The ephemeral ports of a host are the numbers above this one."""
 
 
 class MemoryNetwork:
-    """Hosts and what lies between them."""
+    """Hosts and the links between them."""
 
     def __init__(self, clock: Any, delay: Callable[[str, str], float]) -> None:
-        """Start without hosts.
+        """Create a network without hosts.
 
         Args:
-            clock: Time and timers.
-            delay: One-way seconds between two addresses.
+            clock: Clock and timers.
+            delay: Returns the one-way delay in seconds from one address to another.
         """
         self.clock = clock
         self.delay = delay
@@ -39,10 +39,10 @@
         self._held_deliveries: list[tuple[str, str, Callable[[], None]]] = []
 
     def host(self, address: str) -> Host:
-        """Find or add a host.
+        """Return the host with an address, creating it if necessary.
 
         Args:
-            address: Its IP address.
+            address: IP address of the host.
 
         Returns:
             The host.
@@ -53,7 +53,7 @@
         return found
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Hold up everything that one host sends to another.
+        """Cut the link in one direction; what is sent there is held until `heal`.
 
         Args:
             sender: Address of the sender.
@@ -62,17 +62,19 @@
         self._cut_links.add((sender, receiver))
 
     def heal(self) -> None:
-        """End all cuts; what was held up arrives now."""
+        """Restore all cut links and send what was held."""
         self._cut_links.clear()
         held, self._held_deliveries = self._held_deliveries, []
         for sender, receiver, deliver in held:
             self.transmit(sender, receiver, deliver)
 
     def silence(self, address: str) -> None:
-        """Drop whatever is sent from now on over the open connections of a host; new ones work.
+        """Drop everything sent from now on over a host's open connections, in both directions.
+
+        New connections work.
 
         Args:
-            address: The host's address.
+            address: IP address of the host.
         """
         for transport in self.host(address).open_transports:
             transport.drops_sent_data = True
@@ -80,7 +82,7 @@
                 transport.peer.drops_sent_data = True
 
     def transmit(self, sender: str, receiver: str, deliver: Callable[[], None]) -> None:
-        """Deliver something after the way's delay, or hold it up behind a cut.
+        """Deliver a packet after the link's delay, or hold it while the link is cut.
 
         Args:
             sender: Address of the sender.
@@ -97,67 +99,71 @@
 
 
 class _Timer:
-    """A scheduled call, which can be cancelled until it is made: a freeze puts it off."""
+    """A scheduled call.
+
+    It can be cancelled until it is made, which is later than its due time if the host is frozen.
+    """
 
     def __init__(self, call: Callable[[], None]) -> None:
         self._call: Callable[[], None] | None = call
 
     def active(self) -> bool:
-        """Whether the call is still to be made."""
+        """Return whether the call is still pending."""
         return self._call is not None
 
     def cancel(self) -> None:
-        """Do not make the call."""
+        """Cancel the call."""
         self._call = None
 
     def fire(self) -> None:
-        """Make the call, unless it was cancelled."""
+        """Make the call unless it was cancelled."""
         call, self._call = self._call, None
         if call is not None:
             call()
 
 
 class Host:
-    """One machine; to the code on it, this is the reactor."""
+    """One machine; the code that runs on it uses this object as its reactor."""
 
     def __init__(self, network: MemoryNetwork, address: str) -> None:
-        """Start without sockets.
+        """Create a running host without sockets.
 
         Args:
-            network: The network.
+            network: The network that it is attached to.
             address: IP address.
         """
         self.network = network
         self.address = address
         self._ports: dict[int, _ListeningPort] = {}
-        # A table keeps its order, unlike a set: plays of one seed must not differ.
+        # A dictionary, because its order is deterministic and that of a set is not: runs with the
+        # same seed must not differ.
         self._open: dict[memory_transport.MemoryTransport, None] = {}
         self._process_generation = 0
         self._is_powered_off = False
-        self._next_port = FIRST_EPHEMERAL_PORT
+        self._next_port = EPHEMERAL_PORT_BASE
         self._deferred_calls: collections.deque[Callable[[], None]] | None = None
         self.arrived_at = 0.0
-        """When what it takes in arrived."""
+        """When the packet that is being delivered, or was delivered last, arrived."""
         self.is_stopped = False
-        """Whether the code on it has stopped the reactor."""
+        """Whether the code on the host has stopped the reactor."""
 
     @property
     def open_transports(self) -> frozenset[memory_transport.MemoryTransport]:
-        """Its ends of open connections."""
+        """The host's ends of its open connections."""
         return frozenset(self._open)
 
     @property
     def is_frozen(self) -> bool:
-        """Whether it stands still."""
+        """Whether the host is frozen."""
         return self._deferred_calls is not None
 
     def seconds(self) -> float:
-        """Tell the present."""
+        """Return the current time in seconds."""
         now: float = self.network.clock.seconds()
         return now
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:  # noqa: N802
-        """Schedule a call; it is not made once the process is gone."""
+        """Schedule a call; it is dropped if the process ends before it is due."""
         timer = _Timer(lambda: call(*args))
         generation = self._process_generation
 
@@ -169,18 +175,18 @@
         return timer
 
     def callFromThread(self, call: Callable[..., Any], *args: Any) -> None:  # noqa: N802
-        """Schedule a call for the next turn."""
+        """Schedule a call for the next reactor iteration."""
         self.callLater(0, call, *args)
 
     def run(self, call: Callable[[], None]) -> None:
-        """Make a call now, or when the host is no longer frozen."""
+        """Make a call now, or on wake-up if the host is frozen; drop it if the power is off."""
         if self._deferred_calls is not None:
             self._deferred_calls.append(call)
         elif not self._is_powered_off:
             call()
 
     def receive(self, deliver: Callable[[], None]) -> None:
-        """Take in what arrives now, or when the host is no longer frozen."""
+        """Deliver an arriving packet now, or on wake-up if the host is frozen."""
         arrived_at = self.seconds()
 
         def deliver_arrived() -> None:
@@ -192,7 +198,11 @@
     def listenTCP(  # noqa: N802
         self, port: int, factory: Any, backlog: int = 50, interface: str = ""
     ) -> _ListeningPort:
-        """Accept connections."""
+        """Listen on a port.
+
+        Raises:
+            CannotListenError: The port is in use.
+        """
         listening_port = _ListeningPort(self, port, factory)
         if port in self._ports:
             raise net_error.CannotListenError(interface, port, OSError("in use"))
@@ -202,21 +212,21 @@
     def connectTCP(  # noqa: N802
         self, host: str, port: int, factory: Any, timeout: float = 30
     ) -> _ConnectionAttempt:
-        """Open a connection, as Twisted's reactor does."""
+        """Open a connection, with the interface of Twisted's reactor."""
         attempt = _ConnectionAttempt(self, host, port, factory)
         attempt.timer = self.callLater(timeout, attempt.fail, net_error.TimeoutError())
         self.network.transmit(self.address, host, attempt.reach_peer)
         return attempt
 
     def stop(self) -> None:
-        """Stop the code on this host: as in Twisted, its protocols hear that they lost all."""
+        """Stop the reactor of this host; as in Twisted, its protocols get `connectionLost`."""
         self.is_stopped = True
         for transport in list(self._open):
             transport.reset_at_once()
         self.kill()
 
     def kill(self) -> None:
-        """End the process: its sockets are reset, its timers never fire."""
+        """Kill the process: its connections are reset and its timers never fire."""
         self._process_generation += 1
         self._deferred_calls = None
         self._ports.clear()
@@ -225,46 +235,46 @@
         self._open.clear()
 
     def power_off(self) -> None:
-        """End the process without a word to anybody; the host stays dark until `power_on`."""
+        """Turn the power off: peers get no reset, and packets are dropped until `power_on`."""
         self._process_generation += 1
         self._is_powered_off = True
         self._ports.clear()
         self._open.clear()
 
     def power_on(self) -> None:
-        """Let packets arrive again."""
+        """Turn the power on: packets are delivered again."""
         self._is_powered_off = False
 
     def freeze(self) -> None:
-        """Stand still; what arrives waits."""
+        """Freeze the process: packets that arrive and timers that fall due wait until `wake`."""
         self._deferred_calls = collections.deque()
 
     def wake(self) -> None:
-        """Go on where the host stood still."""
+        """End a freeze and make the deferred calls in order."""
         deferred_calls = self._deferred_calls or collections.deque()
         self._deferred_calls = None
         for call in deferred_calls:
             self.run(call)
 
     def next_port(self) -> int:
-        """Choose a port for a connecting socket."""
+        """Return the next ephemeral port."""
         self._next_port += 1
         return self._next_port
 
     def listening_port(self, port: int) -> _ListeningPort | None:
-        """Find who listens on a port."""
+        """Return the listening port with a number, or None."""
         return self._ports.get(port)
 
     def close_port(self, port: int) -> None:
-        """Stop listening on a port."""
+        """Stop listening on a port, if the host does."""
         self._ports.pop(port, None)
 
     def add_transport(self, transport: memory_transport.MemoryTransport) -> None:
-        """Note an open socket."""
+        """Register an open connection."""
         self._open[transport] = None
 
     def remove_transport(self, transport: memory_transport.MemoryTransport) -> None:
-        """Note that a socket is closed."""
+        """Unregister a closed connection."""
         self._open.pop(transport, None)
 
 
@@ -275,19 +285,19 @@
         self.factory = factory
 
     def doRead(self) -> None:  # noqa: N802
-        """Do nothing: connections are accepted as they come."""
+        """Do nothing: connections are accepted on arrival."""
 
     def stopListening(self) -> None:  # noqa: N802
         """Stop accepting connections."""
         self._host.close_port(self.port)
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Stop accepting connections, at once."""
+        """Stop accepting connections immediately."""
         self._host.close_port(self.port)
 
 
 class _ConnectionAttempt:
-    """A connection that is being opened."""
+    """An attempt to open a connection."""
 
     def __init__(self, host: Host, peer: str, port: int, factory: Any) -> None:
         self._host = host
@@ -298,7 +308,10 @@
         self._is_finished = False
 
     def reach_peer(self) -> None:
-        """Reach the other host."""
+        """Handle the arrival of the connection request at the other host.
+
+        A factory that builds no protocol leaves the request unanswered.
+        """
         network = self._host.network
         remote = network.host(self._peer)
         listening_port = remote.listening_port(self._port)
@@ -327,11 +340,11 @@
         client.open(self._factory.buildProtocol(None))
 
     def disconnect(self) -> None:
-        """Give the attempt up."""
+        """Abandon the attempt."""
         self.fail(net_error.UserError())
 
     def fail(self, error: Exception) -> None:
-        """Report that there is no connection."""
+        """Report the failure to the client factory, unless the attempt has already ended."""
         if self._is_finished:
             return
         self._is_finished = True
--- a/src/lineworks/standins/memory_transport.py
+++ b/src/lineworks/standins/memory_transport.py
@@ -1,4 +1,4 @@
-"""One end of a connection on the network in memory."""
+"""One end of a connection on the in-memory network."""
 
 from __future__ import annotations
 
@@ -13,50 +13,50 @@
 
 
 class Network(Protocol):
-    """What lies between hosts."""
+    """The links between hosts, as transports use them."""
 
     delay: Callable[[str, str], float]
-    """One-way seconds between two addresses."""
+    """Returns the one-way delay in seconds from one address to another."""
 
     def transmit(self, sender: str, receiver: str, deliver: Callable[[], None]) -> None:
-        """Deliver something after the way's delay."""
+        """Deliver a packet after the link's delay."""
 
 
 class TransportHost(Protocol):
-    """What a connection's end needs of its host."""
+    """The parts of a host that a transport uses."""
 
     address: str
     """IP address."""
 
     arrived_at: float
-    """When what it takes in arrived."""
+    """When the packet that is being delivered, or was delivered last, arrived."""
 
     @property
     def network(self) -> Network:
-        """The network that it is on."""
+        """The network that the host is attached to."""
 
     def seconds(self) -> float:
-        """Tell the present."""
+        """Return the current time in seconds."""
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:  # noqa: N802
         """Schedule a call."""
 
     def add_transport(self, transport: MemoryTransport) -> None:
-        """Note an open socket."""
+        """Register an open connection."""
 
     def remove_transport(self, transport: MemoryTransport) -> None:
-        """Note that a socket is closed."""
+        """Unregister a closed connection."""
 
 
 class MemoryTransport:
     """One end of a connection."""
 
     def __init__(self, host: TransportHost, remote: TransportHost) -> None:
-        """Make an end; `open` connects it.
+        """Create an unconnected end; `open` attaches its protocol.
 
         Args:
-            host: The host that it belongs to.
-            there: The other host.
+            host: The host that this end belongs to.
+            remote: The host at the other end.
         """
         self._host = host
         self._remote = remote
@@ -65,13 +65,13 @@
         self._undelivered: list[Callable[[], None]] = []
         self.disconnecting = False
         self.drops_sent_data = False
-        """Whether all that is sent is lost."""
+        """Whether everything sent from this end is lost."""
 
     def open(self, protocol: Any) -> None:
-        """Connect a protocol.
+        """Attach a protocol and deliver what arrived before.
 
         Args:
-            protocol: Takes what arrives.
+            protocol: Receives the data and the end of the connection.
         """
         self._protocol = protocol
         self._host.add_transport(self)
@@ -81,27 +81,27 @@
             call()
 
     def write(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send bytes, unless the connection is closed or closing."""
         if self._protocol is None or self.disconnecting:
             return
         self._send(lambda peer: peer._on_data(bytes(data)))
 
     def writeSequence(self, pieces: Any) -> None:  # noqa: N802
-        """Send pieces."""
+        """Send several pieces of data in one write."""
         self.write(b"".join(pieces))
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
-        """Do nothing: there is no Nagle here."""
+        """Do nothing: the network does not implement Nagle's algorithm."""
 
     def setTcpKeepAlive(self, enabled: bool) -> None:  # noqa: N802
         """Do nothing."""
 
     def getHandle(self) -> Any:  # noqa: N802
-        """Give a socket whose options can be set without effect."""
+        """Return a stand-in for the socket, whose options can be set without effect."""
         return _SocketOptions(self._host, self._remote)
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Close in order."""
+        """Close the connection cleanly."""
         if self._protocol is None or self.disconnecting:
             return
         self.disconnecting = True
@@ -109,14 +109,14 @@
         self._host.callLater(0, self._on_closed, net_error.ConnectionDone())
 
     def abortConnection(self) -> None:  # noqa: N802
-        """Close with a reset."""
+        """Reset the connection; the protocol on this side is told in the next iteration."""
         self.reset(notifies_local=True)
 
     def reset(self, notifies_local: bool) -> None:
         """Reset the connection.
 
         Args:
-            tells_own_side: Whether the own protocol hears of it.
+            notifies_local: Whether the protocol on this side is told, in the next iteration.
         """
         self._send(lambda peer: peer._on_closed(net_error.ConnectionLost()))
         if notifies_local:
@@ -126,7 +126,7 @@
             self._host.remove_transport(self)
 
     def reset_at_once(self) -> None:
-        """Reset the connection, and tell the own protocol at once."""
+        """Reset the connection and tell the protocol on this side immediately."""
         self._send(lambda peer: peer._on_closed(net_error.ConnectionLost()))
         self._on_closed(net_error.ConnectionLost())
 
@@ -158,7 +158,7 @@
 
 
 class _SocketOptions:
-    """What can be asked of a connection's socket."""
+    """The socket options of a connection."""
 
     def __init__(self, host: TransportHost, remote: TransportHost) -> None:
         self._host = host
@@ -168,7 +168,7 @@
         """Do nothing."""
 
     def getsockopt(self, level: int, option: int, size: int) -> bytes:
-        """Tell the round trip and how long data waited, as Linux does in its `tcp_info`."""
+        """Return `tcp_info` as on Linux, with round-trip time and time since data last arrived."""
         delay = self._host.network.delay
         remote, back = self._remote.address, self._host.address
         seconds = delay(remote, back) + delay(back, remote)
--- a/src/lineworks/standins/shapes.py
+++ b/src/lineworks/standins/shapes.py
@@ -1,4 +1,4 @@
-"""Ready-made deployments for trials: services, halls and targets of the users' sizes."""
+"""Plans of services and targets, spread over data halls, for trials at the users' sizes."""
 
 from __future__ import annotations
 
@@ -8,52 +8,52 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shape:
-    """The size of one application's deployment."""
+    """The number and sizes of the services of one application."""
 
     app: str
-    """Value of the label `app` of its services."""
+    """Value of the label `app` of the services, and prefix of their names."""
 
     services: int
-    """How many services it has."""
+    """Number of services."""
 
     replicas: int
-    """Replicas of each service."""
+    """Number of replicas of each service."""
 
     slots: int
-    """Slots of each replica."""
+    """Number of requests that each replica runs at once."""
 
     connections: int
-    """Connections that each replica accepts."""
+    """Number of connections that each replica accepts at once."""
 
     halls: tuple[str, ...]
-    """Data halls, over which services are spread."""
+    """Data halls; services are assigned to them in turn."""
 
     replicas_share_hall: bool = True
-    """Whether the replicas of a service stand in one hall; otherwise in following halls."""
+    """Whether all replicas of a service stand in one hall; if not, each stands in the next hall."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedTarget:
-    """A target of a shape."""
+    """The name, service and hall of one target of a shape."""
 
     name: str
     """Unique name."""
 
     service: str
-    """Its service."""
+    """Name of the service that it serves."""
 
     hall: str
-    """Its data hall."""
+    """Data hall that it stands in."""
 
 
 def plan_targets(shape: Shape) -> list[PlannedTarget]:
-    """List the targets of a shape.
+    """Return the targets of a shape.
 
     Args:
         shape: The shape.
 
     Returns:
-        Targets, in order of service and replica.
+        The targets, ordered by service and replica.
     """
     planned = []
     for number in range(shape.services):
@@ -68,15 +68,15 @@
 def service_items(
     shape: Shape, ports: dict[str, int], layouts: dict[str, int] | None = None
 ) -> dict[str, Any]:
-    """Write the services of a shape as configuration items.
+    """Return the services of a shape as configuration items.
 
     Args:
         shape: The shape.
-        ports: TCP port of each target, by name.
-        layouts: Shards of each service by layout; one shard in `base` when not given.
+        ports: TCP port of each target, by the target's name.
+        layouts: Number of shards of each service, by layout; by default one shard in `base`.
 
     Returns:
-        Service items by name.
+        The items, by name of the service.
     """
     items: dict[str, Any] = {}
     for target in plan_targets(shape):
--- a/src/lineworks/standins/site.py
+++ b/src/lineworks/standins/site.py
@@ -1,4 +1,4 @@
-"""A platform and the targets of several shapes, together on loopback, for trials."""
+"""A stand-in platform and the targets of several shapes in one process, for trials."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     from collections.abc import Sequence
 
 FIRST_SNAPSHOT = catalog.Snapshot(1, catalog.BASE_LAYOUT)
-"""Snapshot that every stand-in target holds at first."""
+"""Snapshot that every stand-in target holds initially."""
 
 
 class Site:
-    """Everything around the instances."""
+    """The platform and the targets that the instances talk to."""
 
     def __init__(
         self,
@@ -26,12 +26,12 @@
         times: target_model.ServiceTimes,
         seed: int,
     ) -> None:
-        """Make the stand-ins; nothing listens yet.
+        """Create the stand-ins; `listen` opens their sockets.
 
         Args:
             reactor: Twisted's reactor.
             planned: Shapes of the applications.
-            times: Service times of all targets.
+            times: Distribution of the service times of all targets.
             seed: Seed of the service times.
         """
         self._reactor = reactor
@@ -53,29 +53,29 @@
                 )
 
     def listen(self, host: str, platform_port: int = 0, first_target_port: int = 0) -> None:
-        """Open all sockets.
+        """Listen on all sockets.
 
         Args:
-            host: IP address.
+            host: IP address to listen on.
             platform_port: TCP port of the platform; 0 lets the system choose.
-            first_target_port: TCP port of the first target, the others following; 0 lets the
-                system choose all.
+            first_target_port: TCP port of the first target; the others get the following
+                ports. 0 lets the system choose all of them.
         """
         self.platform.listen(self._reactor, host, platform_port)
         for number, target in enumerate(self.targets.values()):
             target.listen(host, first_target_port + number if first_target_port else 0)
 
     async def close(self) -> None:
-        """Close all sockets."""
+        """Close all listening sockets."""
         for target in self.targets.values():
             await target.close()
         await self.platform.close()
 
     def services(self) -> dict[str, Any]:
-        """Write the services as configuration items.
+        """Return the services as configuration items; the sockets must be open.
 
         Returns:
-            Items by name.
+            The items, by name of the service.
         """
         ports = {name: target.port for name, target in self.targets.items()}
         items: dict[str, Any] = {}
@@ -84,10 +84,10 @@
         return items
 
     def set_snapshots(self, snapshots: frozenset[catalog.Snapshot]) -> None:
-        """Change what every target holds.
+        """Set the snapshots that every target holds.
 
         Args:
-            held: The snapshots.
+            snapshots: The snapshots.
         """
         for target in self.targets.values():
             target.model.holds = snapshots
--- a/src/lineworks/standins/target_model.py
+++ b/src/lineworks/standins/target_model.py
@@ -1,7 +1,8 @@
-"""A target as the stand-ins and the bench see it: slots, a queue, service times and faults.
+"""A model of a target for the stand-ins and the bench: slots, a queue, service times and faults.
 
-It runs on any clock, keeps books of its own (what it started, for whom, how often), and stamps
-each reply so that a mixed, crossed or doubled answer can be found by whoever receives it.
+It runs on any clock and counts which requests it started and how often. Each reply names the
+request, shard and snapshot that it answers, so that its receiver can detect answers that mix
+snapshots, belong to another request or contain a reply twice.
 """
 
 from __future__ import annotations
@@ -19,33 +20,33 @@
     from collections.abc import Callable
 
 COLD_SLOWDOWN = 4.0
-"""Factor by which a target that has just started is slower, falling to 1."""
+"""Factor by which a target is slower just after a start; it falls linearly to 1."""
 
 
 @dataclasses.dataclass(slots=True)
 class ServiceTimes:
-    """Log-normal service times, some of them much longer."""
+    """Log-normal distribution of service times, with a share of much longer stragglers."""
 
     median: float = 0.02
-    """Seconds."""
+    """Median in seconds, before stragglers are slowed."""
 
     sigma: float = 0.5
-    """Standard deviation of the logarithm."""
+    """Standard deviation of the logarithm of the service time."""
 
     straggler_share: float = 0.01
-    """Share (0 to 1) of requests that straggle."""
+    """Fraction (0 to 1) of requests that are stragglers."""
 
     straggler_factor: float = 10.0
-    """How many times as long those take."""
+    """Factor by which stragglers take longer."""
 
     def sample(self, rng: random.Random) -> float:
         """Draw a service time.
 
         Args:
-            rng: Random source.
+            rng: Random number generator.
 
         Returns:
-            Seconds.
+            The service time in seconds.
         """
         seconds = self.median * math.exp(self.sigma * rng.gauss(0.0, 1.0))
         if rng.random() < self.straggler_share:
@@ -54,7 +55,7 @@
 
     @property
     def mean(self) -> float:
-        """Mean service time in seconds."""
+        """Mean service time in seconds, stragglers included."""
         plain = self.median * math.exp(self.sigma**2 / 2)
         return plain * (1 + self.straggler_share * (self.straggler_factor - 1))
 
@@ -68,30 +69,30 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetCounters:
-    """What a target counts itself."""
+    """Counters of one target."""
 
     started: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
-    """Starts by the first part of the request body, which names the sub-query's cause."""
+    """Starts, by `request/shard`; the first part of the request body names the request."""
 
     refused: int = 0
-    """Requests refused as not run."""
+    """Number of requests refused as not run."""
 
     cancelled: int = 0
-    """Requests cancelled, whether they had started or not."""
+    """Number of requests cancelled while they ran or were queued."""
 
     started_after_leaving: int = 0
-    """Requests started more than `LEAVING_GRACE_SECONDS` seconds after it said it was leaving."""
+    """Number of requests started more than `LEAVING_GRACE_SECONDS` after beginning to leave."""
 
     total_started: int = 0
-    """All starts."""
+    """Number of all starts."""
 
 
 LEAVING_GRACE_SECONDS = 3.0
-"""Seconds after which a leaving target must get no new work."""
+"""Grace period in seconds, after which a leaving target must start no request."""
 
 
 class TargetModel:
-    """One target."""
+    """A target that runs and queues requests on a clock, without a network."""
 
     def __init__(
         self,
@@ -103,16 +104,16 @@
         holds: frozenset[catalog.Snapshot],
         queue_limit: int = 16,
     ) -> None:
-        """Start serving.
+        """Create a target that accepts requests.
 
         Args:
             name: Name of the target.
-            clock: Time and timers.
-            rng: Random source of service times.
-            slots: Requests worked on at once.
-            times: Service times.
-            holds: Snapshots held.
-            queue_limit: Requests that may wait; more are refused.
+            clock: Clock and timers.
+            rng: Random number generator for service times.
+            slots: Number of requests that run at once.
+            times: Distribution of service times.
+            holds: Snapshots that the target holds.
+            queue_limit: Number of requests that may be queued; more are refused.
         """
         self.name = name
         self._clock = clock
@@ -135,16 +136,16 @@
 
     @property
     def busy(self) -> int:
-        """Slots in use."""
+        """Number of slots in use."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """Requests waiting."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def report(self) -> replicas.StatusReport:
-        """Say how it is, truly unless a fault is set.
+        """Return the status report, changed by `report_override` if that is set.
 
         Returns:
             The report.
@@ -161,11 +162,11 @@
         return self.report_override(report) if self.report_override else report
 
     def submit(self, attempt: ports.Attempt, on_outcome: Callable[[ports.Outcome], None]) -> None:
-        """Take a request.
+        """Start, queue or refuse a request.
 
         Args:
             attempt: The request.
-            on_outcome: Called once, unless the target goes down.
+            on_outcome: Called once with the outcome, unless the target goes down first.
         """
         refusal = self._refusal(attempt)
         if refusal is not None:
@@ -179,7 +180,7 @@
             self._queue.append(job)
 
     def cancel(self, attempt_id: str) -> None:
-        """Give up a request.
+        """Cancel a running or queued request.
 
         Args:
             attempt_id: Identity of the attempt; an unknown one is ignored.
@@ -206,19 +207,19 @@
                 return
 
     def stall(self, seconds: float) -> None:
-        """Stop making progress for a while; accepted requests stay.
+        """Finish no request for a while; accepted requests are kept.
 
         Args:
-            seconds: How long.
+            seconds: Length of the stall.
         """
         self._stalled_until = self._clock.seconds() + seconds
 
     def leave(self) -> None:
-        """Say from now on that it is leaving, and refuse new work after the grace."""
+        """Begin to leave: report it and refuse new requests; queued requests may still start."""
         self._leaving_since = self._clock.seconds()
 
     def go_down(self) -> list[ports.Attempt]:
-        """Lose everything at once.
+        """Go down immediately and lose all running and queued requests.
 
         Returns:
             The attempts that were lost.
@@ -233,10 +234,10 @@
         return lost
 
     def come_up(self, cold_seconds: float = 0.0) -> None:
-        """Start again as a new incarnation.
+        """Restart as a new incarnation.
 
         Args:
-            cold_seconds: Seconds for which it is slower than usual.
+            cold_seconds: Seconds for which the target is cold, and so slower.
         """
         self.is_down = False
         self._restarts += 1
@@ -246,10 +247,10 @@
         self.warm_up(cold_seconds)
 
     def warm_up(self, cold_seconds: float) -> None:
-        """Be slow for a while, as after loading a new index.
+        """Become cold, and so slower, for a while, as after loading a new index.
 
         Args:
-            cold_seconds: How long.
+            cold_seconds: Seconds for which the target is cold.
         """
         self._cold_seconds = max(cold_seconds, 1e-9)
         self._cold_until = self._clock.seconds() + cold_seconds
@@ -311,15 +312,15 @@
 
 
 def format_reply(body: bytes, shard: str, snapshot: catalog.Snapshot | None) -> bytes:
-    """Make a reply that names what it answers.
+    """Return a reply that names what it answers.
 
     Args:
-        body: The request's body; its part before the first `|` names the query.
-        shard: The shard.
-        snapshot: The snapshot answered from.
+        body: Body of the request; the part before the first `|` names the request.
+        shard: The shard that was queried.
+        snapshot: The snapshot that the reply is based on.
 
     Returns:
-        `query|shard|snapshot`.
+        The reply, as `request|shard|snapshot`.
     """
     request_name = body.partition(b"|")[0].decode(errors="replace")
     return f"{request_name}|{shard}|{snapshot}".encode()
--- a/src/lineworks/standins/target_server.py
+++ b/src/lineworks/standins/target_server.py
@@ -1,7 +1,7 @@
-"""A stand-in target over HTTP, around `TargetModel`.
+"""An HTTP server that exposes a `TargetModel` as a stand-in target.
 
-It speaks the protocol of docs/reference/targets.md, accepts no more connections than its cap, and
-counts what it was offered.
+It implements the protocol of docs/reference/targets.md, limits the number of open connections and
+counts those that it refuses.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class _CappedSite(server.Site):
-    """Closes connections above the cap at once, and counts them."""
+    """Closes connections above the limit immediately, and counts them."""
 
     def __init__(self, resource: Any, cap: int) -> None:
         super().__init__(resource)
@@ -58,15 +58,15 @@
 
 
 class TargetServer:
-    """One target on a TCP port."""
+    """A target that listens on a TCP port."""
 
     def __init__(self, reactor: Any, model: target_model.TargetModel, connections: int) -> None:
-        """Make the server; nothing listens yet.
+        """Create the server; `listen` opens its socket.
 
         Args:
             reactor: Twisted's reactor.
-            model: The target itself.
-            connections: Connections accepted at once.
+            model: The target that handles the requests.
+            connections: Number of connections that may be open at once.
         """
         self._reactor = reactor
         self.model = model
@@ -75,31 +75,35 @@
 
     @property
     def port(self) -> int:
-        """TCP port."""
+        """TCP port that the server listens on."""
         number: int = self._port.getHost().port
         return number
 
     @property
     def peak_connections(self) -> int:
-        """Connections open at once, at most so far."""
+        """Largest number of connections that were open at once."""
         return self._site.peak
 
     @property
     def refused_connections(self) -> int:
-        """Connections refused because of the cap."""
+        """Number of connections refused because of the limit."""
         return self._site.refused
 
     def listen(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Serve.
+        """Start to listen.
 
         Args:
-            host: IP address.
+            host: IP address to listen on.
             port: TCP port; 0 lets the system choose.
         """
         self._port = self._reactor.listenTCP(port, self._site, interface=host, backlog=128)
 
     def close(self) -> Any:
-        """Stop serving."""
+        """Stop listening.
+
+        Returns:
+            An awaitable that completes when the socket is closed.
+        """
         return http_server.close(self._port)
 
     def _routes(self) -> klein.Klein:
--- a/tests/test_memory_network.py
+++ b/tests/test_memory_network.py
@@ -1,4 +1,4 @@
-"""The stand-in for machines and their network."""
+"""Tests of the in-memory network that stands in for hosts and TCP."""
 
 from __future__ import annotations
 
--- a/tests/test_priced_rules.py
+++ b/tests/test_priced_rules.py
@@ -1,4 +1,4 @@
-"""What callers are owed beyond an answer: true refusals, shares of a split, and being let go."""
+"""Tests of truthful refusals, weighted splits, departed callers and readiness after a freeze."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def test_a_search_that_some_targets_answered_is_not_refused_as_not_run():
-    # Nine of twelve shards are needed; four refuse whatever they get.
+    # Nine of twelve shards are needed; the targets of four refuse every request.
     world = test_forwarding.build()
     for shard in test_forwarding.SHARDS[:4]:
         for target in test_forwarding.targets_of(world, shard):
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -1,4 +1,4 @@
-"""Searches that come at once and find their targets full."""
+"""Tests of concurrent searches that find all slots of their targets in use."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 
 def test_concurrent_searches_are_answered_as_soon_as_target_slots_are_free():
-    # Two targets a shard, each with room for two requests of 0.03 s: two rounds, and the ways.
+    # Each shard has two targets with two slots and 0.03 s per request, so eight searches take two
+    # rounds plus network delays.
     world = test_forwarding.build()
     replies = [world.ask("akl-1", "/search/q", attempt=f"q{number}") for number in range(8)]
     world.run(1.0)
--- a/tests/test_search_retries.py
+++ b/tests/test_search_retries.py
@@ -7,8 +7,8 @@
 
 
 def test_a_slow_shard_is_hedged_at_a_target_that_was_full_before():
-    # Shards were missing after a single attempt: both of their targets counted as tried, because
-    # the first one had been full or unreachable.
+    # A target that was full or unreachable must not count as tried. Otherwise both targets of a
+    # shard count as tried after a single attempt, and the shard is missing.
     world = test_forwarding.build()
     busy, paused = test_forwarding.targets_of(world, "s00")
     busy.faults.sheds = True
@@ -23,7 +23,7 @@
 
 
 def test_temporarily_unreachable_shards_do_not_fail_the_search():
-    # Shards were given up without any attempt, a tenth of a second after the start.
+    # Guards against giving up shards without any attempt 0.1 s after the start of the search.
     world = test_forwarding.build()
     hosts = []
     for shard in test_forwarding.SHARDS[:4]:
@@ -42,7 +42,8 @@
 
 
 def test_unreachable_remote_targets_are_not_retried_in_every_search():
-    # Every search first tried crashed targets through a gatherer again.
+    # The front must remember crashed targets that a gatherer could not reach; otherwise every
+    # search tries them first again.
     world = test_forwarding.build()
     front = world.nodes["akl-1"]
     for shard in test_forwarding.SHARDS:
@@ -81,8 +82,8 @@
 
 
 def test_no_third_target_runs_a_shard_after_a_gatherer_is_lost():
-    # The gatherer of a hedge was given up while its target was still running the query. Another
-    # hedge then ran on a third target, although the route allows two.
+    # If the gatherer of a hedge is lost while its target still runs the query, another hedge must
+    # not run on a third target: the route allows two.
     world = test_forwarding.build()
     for shard in test_forwarding.SHARDS:
         for hall in deployment.HALLS:
--- a/tests/test_true_verdicts.py
+++ b/tests/test_true_verdicts.py
@@ -1,4 +1,4 @@
-"""Requests that reached no target are refused as not run, and only those."""
+"""Tests that requests are refused as not run if, and only if, they reached no target."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def power_off_targets(world, services):
-    """Let targets neither answer nor refuse connections."""
+    """Power targets off, so that they neither accept nor refuse connections."""
     for service in services:
         for target in test_forwarding.targets_of(world, service):
             target.host.power_off()
