--- a/src/lineworks/programs/demo.py
+++ b/src/lineworks/programs/demo.py
@@ -229,9 +229,9 @@
 
     async def _replace_snapshot(self) -> None:
         """Load the new snapshot on all targets, then unload the old one."""
-        self._site.hold(frozenset({site.FIRST_SNAPSHOT, NEXT_SNAPSHOT}))
+        self._site.set_snapshots(frozenset({site.FIRST_SNAPSHOT, NEXT_SNAPSHOT}))
         await task.sleep(self._reactor, 1.2)
-        self._site.hold(frozenset({NEXT_SNAPSHOT}))
+        self._site.set_snapshots(frozenset({NEXT_SNAPSHOT}))
 
     async def _reconfigure(self) -> None:
         version = self._instances[0].keeper.version
--- a/src/lineworks/standins/target_model.py
+++ b/src/lineworks/standins/target_model.py
@@ -1,7 +1,8 @@
-"""A target as the stand-ins and the bench see it: slots, a queue, service times and faults.
+"""A model of a target for the stand-ins and the bench: slots, a queue, service times and faults.
 
-It runs on any clock, keeps books of its own (what it started, for whom, how often), and stamps
-each reply so that a mixed, crossed or doubled answer can be found by whoever receives it.
+It runs on any clock and counts which requests it started and how often. Each reply names the
+request, shard and snapshot that it answers, so that its receiver can detect answers that mix
+snapshots, belong to another request or contain a reply twice.
 """
 
 from __future__ import annotations
@@ -19,33 +20,33 @@
     from collections.abc import Callable
 
 COLD_SLOWDOWN = 4.0
-"""Factor by which a target that has just started is slower, falling to 1."""
+"""Factor by which a target is slower just after a start; it falls linearly to 1."""
 
 
 @dataclasses.dataclass(slots=True)
 class ServiceTimes:
-    """Log-normal service times, some of them much longer."""
+    """Log-normal distribution of service times, with a share of much longer stragglers."""
 
     median: float = 0.02
-    """Seconds."""
+    """Median in seconds, before stragglers are slowed."""
 
     sigma: float = 0.5
-    """Standard deviation of the logarithm."""
+    """Standard deviation of the logarithm of the service time."""
 
     straggler_share: float = 0.01
-    """Share (0 to 1) of requests that straggle."""
+    """Fraction (0 to 1) of requests that are stragglers."""
 
     straggler_factor: float = 10.0
-    """How many times as long those take."""
+    """Factor by which stragglers take longer."""
 
     def sample(self, rng: random.Random) -> float:
         """Draw a service time.
 
         Args:
-            rng: Random source.
+            rng: Random number generator.
 
         Returns:
-            Seconds.
+            The service time in seconds.
         """
         seconds = self.median * math.exp(self.sigma * rng.gauss(0.0, 1.0))
         if rng.random() < self.straggler_share:
@@ -54,7 +55,7 @@
 
     @property
     def mean(self) -> float:
-        """Mean service time in seconds."""
+        """Mean service time in seconds, stragglers included."""
         plain = self.median * math.exp(self.sigma**2 / 2)
         return plain * (1 + self.straggler_share * (self.straggler_factor - 1))
 
@@ -67,31 +68,31 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Books:
-    """What a target counts itself."""
+class TargetCounters:
+    """Counters of one target."""
 
     started: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
-    """Starts by the first part of the request body, which names the sub-query's cause."""
+    """Starts, by `request/shard`; the first part of the request body names the request."""
 
     refused: int = 0
-    """Requests refused as not run."""
+    """Number of requests refused as not run."""
 
     cancelled: int = 0
-    """Requests cancelled, whether they had started or not."""
+    """Number of requests cancelled while they ran or were queued."""
 
     started_after_leaving: int = 0
-    """Requests started more than `LEAVING_GRACE` seconds after it said it was leaving."""
+    """Number of requests started more than `LEAVING_GRACE_SECONDS` after beginning to leave."""
 
     total_started: int = 0
-    """All starts."""
+    """Number of all starts."""
 
 
-LEAVING_GRACE = 3.0
-"""Seconds after which a leaving target must get no new work."""
+LEAVING_GRACE_SECONDS = 3.0
+"""Grace period in seconds, after which a leaving target must start no request."""
 
 
 class TargetModel:
-    """One target."""
+    """A target that runs and queues requests on a clock, without a network."""
 
     def __init__(
         self,
@@ -103,16 +104,16 @@
         holds: frozenset[catalog.Snapshot],
         queue_limit: int = 16,
     ) -> None:
-        """Start serving.
+        """Create a target that accepts requests.
 
         Args:
             name: Name of the target.
-            clock: Time and timers.
-            rng: Random source of service times.
-            slots: Requests worked on at once.
-            times: Service times.
-            holds: Snapshots held.
-            queue_limit: Requests that may wait; more are refused.
+            clock: Clock and timers.
+            rng: Random number generator for service times.
+            slots: Number of requests that run at once.
+            times: Distribution of service times.
+            holds: Snapshots that the target holds.
+            queue_limit: Number of requests that may be queued; more are refused.
         """
         self.name = name
         self._clock = clock
@@ -124,27 +125,27 @@
         self._queue: collections.deque[_Job] = collections.deque()
         self._stalled_until = 0.0
         self._cold_until = 0.0
-        self._cold_for = 1.0
-        self._left_at = math.inf
-        self._starts = 0
+        self._cold_seconds = 1.0
+        self._leaving_since = math.inf
+        self._restarts = 0
         self.incarnation = f"{name}#0"
         self.is_down = False
         self.holds = holds
-        self.books = Books()
+        self.books = TargetCounters()
         self.report_override: Callable[[replicas.StatusReport], replicas.StatusReport] | None = None
 
     @property
     def busy(self) -> int:
-        """Slots in use."""
+        """Number of slots in use."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """Requests waiting."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def report(self) -> replicas.StatusReport:
-        """Say how it is, truly unless a fault is set.
+        """Return the status report, changed by `report_override` if that is set.
 
         Returns:
             The report.
@@ -156,16 +157,16 @@
             len(self._running),
             len(self._queue),
             now < self._cold_until,
-            now >= self._left_at,
+            now >= self._leaving_since,
         )
         return self.report_override(report) if self.report_override else report
 
     def submit(self, attempt: ports.Attempt, on_outcome: Callable[[ports.Outcome], None]) -> None:
-        """Take a request.
+        """Start, queue or refuse a request.
 
         Args:
             attempt: The request.
-            on_outcome: Called once, unless the target goes down.
+            on_outcome: Called once with the outcome, unless the target goes down first.
         """
         refusal = self._refusal(attempt)
         if refusal is not None:
@@ -179,7 +180,7 @@
             self._queue.append(job)
 
     def cancel(self, attempt_id: str) -> None:
-        """Give up a request.
+        """Cancel a running or queued request.
 
         Args:
             attempt_id: Identity of the attempt; an unknown one is ignored.
@@ -189,32 +190,36 @@
             self.books.cancelled += 1
             if running.timer is not None and running.timer.active():
                 running.timer.cancel()
-            found = verdict.may_have_run(verdict.Reason.CANCELLED, "cancelled while running")
-            running.on_outcome(ports.Outcome(found, report=self.report()))
-            self._next()
+            outcome_verdict = verdict.may_have_run(
+                verdict.Reason.CANCELLED, "cancelled while running"
+            )
+            running.on_outcome(ports.Outcome(outcome_verdict, report=self.report()))
+            self._start_queued()
             return
         for job in self._queue:
             if job.attempt.id == attempt_id:
                 self._queue.remove(job)
                 self.books.cancelled += 1
-                found = verdict.not_run(verdict.Reason.CANCELLED, "cancelled while waiting")
-                job.on_outcome(ports.Outcome(found, report=self.report()))
+                outcome_verdict = verdict.not_run(
+                    verdict.Reason.CANCELLED, "cancelled while waiting"
+                )
+                job.on_outcome(ports.Outcome(outcome_verdict, report=self.report()))
                 return
 
     def stall(self, seconds: float) -> None:
-        """Stop making progress for a while; accepted requests stay.
+        """Finish no request for a while; accepted requests are kept.
 
         Args:
-            seconds: How long.
+            seconds: Length of the stall.
         """
         self._stalled_until = self._clock.seconds() + seconds
 
     def leave(self) -> None:
-        """Say from now on that it is leaving, and refuse new work after the grace."""
-        self._left_at = self._clock.seconds()
+        """Begin to leave: report it and refuse new requests; queued requests may still start."""
+        self._leaving_since = self._clock.seconds()
 
     def go_down(self) -> list[ports.Attempt]:
-        """Lose everything at once.
+        """Go down immediately and lose all running and queued requests.
 
         Returns:
             The attempts that were lost.
@@ -229,30 +234,30 @@
         return lost
 
     def come_up(self, cold_seconds: float = 0.0) -> None:
-        """Start again as a new incarnation.
+        """Restart as a new incarnation.
 
         Args:
-            cold_seconds: Seconds for which it is slower than usual.
+            cold_seconds: Seconds for which the target is cold, and so slower.
         """
         self.is_down = False
-        self._starts += 1
-        self.incarnation = f"{self.name}#{self._starts}"
-        self._left_at = math.inf
+        self._restarts += 1
+        self.incarnation = f"{self.name}#{self._restarts}"
+        self._leaving_since = math.inf
         self._stalled_until = 0.0
         self.warm_up(cold_seconds)
 
     def warm_up(self, cold_seconds: float) -> None:
-        """Be slow for a while, as after loading a new index.
+        """Become cold, and so slower, for a while, as after loading a new index.
 
         Args:
-            cold_seconds: How long.
+            cold_seconds: Seconds for which the target is cold.
         """
-        self._cold_for = max(cold_seconds, 1e-9)
+        self._cold_seconds = max(cold_seconds, 1e-9)
         self._cold_until = self._clock.seconds() + cold_seconds
 
     def _refusal(self, attempt: ports.Attempt) -> verdict.Verdict | None:
         now = self._clock.seconds()
-        if now >= self._left_at:
+        if now >= self._leaving_since:
             return verdict.not_run(verdict.Reason.LEAVING, "leaving")
         if attempt.snapshot is not None and attempt.snapshot not in self.holds:
             return verdict.not_run(verdict.Reason.SNAPSHOT_GONE, "not held")
@@ -265,9 +270,9 @@
     def _start(self, job: _Job) -> None:
         now = self._clock.seconds()
         self.books.total_started += 1
-        cause = job.attempt.body.partition(b"|")[0].decode(errors="replace")
-        self.books.started[f"{cause}/{job.attempt.shard}"] += 1
-        if now > self._left_at + LEAVING_GRACE:
+        request_name = job.attempt.body.partition(b"|")[0].decode(errors="replace")
+        self.books.started[f"{request_name}/{job.attempt.shard}"] += 1
+        if now > self._leaving_since + LEAVING_GRACE_SECONDS:
             self.books.started_after_leaving += 1
         self._running[job.attempt.id] = job
         seconds = self._times.sample(self._rng) * self._slowdown(now)
@@ -276,46 +281,46 @@
     def _slowdown(self, now: float) -> float:
         if now >= self._cold_until:
             return 1.0
-        return 1.0 + (COLD_SLOWDOWN - 1.0) * (self._cold_until - now) / self._cold_for
+        return 1.0 + (COLD_SLOWDOWN - 1.0) * (self._cold_until - now) / self._cold_seconds
 
     def _finish(self, job: _Job) -> None:
-        late = self._stalled_until - self._clock.seconds()
-        if late > 0:
-            job.timer = self._clock.callLater(late, self._finish, job)
+        stalled_for = self._stalled_until - self._clock.seconds()
+        if stalled_for > 0:
+            job.timer = self._clock.callLater(stalled_for, self._finish, job)
             return
         del self._running[job.attempt.id]
         attempt = job.attempt
         snapshot = attempt.snapshot or max(self.holds, default=None)
         if snapshot is not None and snapshot not in self.holds:
-            found = verdict.ran(verdict.Reason.SNAPSHOT_GONE, "dropped while it ran")
-            job.on_outcome(ports.Outcome(found, report=self.report()))
+            outcome_verdict = verdict.ran(verdict.Reason.SNAPSHOT_GONE, "dropped while it ran")
+            job.on_outcome(ports.Outcome(outcome_verdict, report=self.report()))
         else:
-            body = stamp(attempt.body, attempt.shard, snapshot)
+            body = format_reply(attempt.body, attempt.shard, snapshot)
             job.on_outcome(ports.Outcome(verdict.OK, snapshot, body, self.report()))
-        self._next()
+        self._start_queued()
 
-    def _next(self) -> None:
+    def _start_queued(self) -> None:
         now = self._clock.seconds()
         while self._queue and len(self._running) < self._slots:
             job = self._queue.popleft()
             if job.attempt.deadline <= now:
-                found = verdict.not_run(verdict.Reason.DEADLINE, "expired in the queue")
+                outcome_verdict = verdict.not_run(verdict.Reason.DEADLINE, "expired in the queue")
                 self.books.refused += 1
-                job.on_outcome(ports.Outcome(found, report=self.report()))
+                job.on_outcome(ports.Outcome(outcome_verdict, report=self.report()))
                 continue
             self._start(job)
 
 
-def stamp(body: bytes, shard: str, snapshot: catalog.Snapshot | None) -> bytes:
-    """Make a reply that names what it answers.
+def format_reply(body: bytes, shard: str, snapshot: catalog.Snapshot | None) -> bytes:
+    """Return a reply that names what it answers.
 
     Args:
-        body: The request's body; its part before the first `|` names the query.
-        shard: The shard.
-        snapshot: The snapshot answered from.
+        body: Body of the request; the part before the first `|` names the request.
+        shard: The shard that was queried.
+        snapshot: The snapshot that the reply is based on.
 
     Returns:
-        `query|shard|snapshot`.
+        The reply, as `request|shard|snapshot`.
     """
-    cause = body.partition(b"|")[0].decode(errors="replace")
-    return f"{cause}|{shard}|{snapshot}".encode()
+    request_name = body.partition(b"|")[0].decode(errors="replace")
+    return f"{request_name}|{shard}|{snapshot}".encode()
--- a/src/lineworks/standins/target_server.py
+++ b/src/lineworks/standins/target_server.py
@@ -1,7 +1,7 @@
-"""A stand-in target over HTTP, around `TargetModel`.
+"""An HTTP server that exposes a `TargetModel` as a stand-in target.
 
-It speaks the protocol of docs/reference/targets.md, accepts no more connections than its cap, and
-counts what it was offered.
+It implements the protocol of docs/reference/targets.md, limits the number of open connections and
+counts those that it refuses.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 
 class _CappedSite(server.Site):
-    """Closes connections above the cap at once, and counts them."""
+    """Closes connections above the limit immediately, and counts them."""
 
     def __init__(self, resource: Any, cap: int) -> None:
         super().__init__(resource)
         self._cap = cap
         self.open = 0
-        self.most = 0
+        self.peak = 0
         self.refused = 0
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
@@ -46,27 +46,27 @@
             return None
         channel: Any = super().buildProtocol(addr)
         self.open += 1
-        self.most = max(self.most, self.open)
-        lost = channel.connectionLost
+        self.peak = max(self.peak, self.open)
+        report_loss = channel.connectionLost
 
         def on_lost(reason: Any) -> None:
             self.open -= 1
-            lost(reason)
+            report_loss(reason)
 
         channel.connectionLost = on_lost
         return channel
 
 
 class TargetServer:
-    """One target on a TCP port."""
+    """A target that listens on a TCP port."""
 
     def __init__(self, reactor: Any, model: target_model.TargetModel, connections: int) -> None:
-        """Make the server; nothing listens yet.
+        """Create the server; `listen` opens its socket.
 
         Args:
             reactor: Twisted's reactor.
-            model: The target itself.
-            connections: Connections accepted at once.
+            model: The target that handles the requests.
+            connections: Number of connections that may be open at once.
         """
         self._reactor = reactor
         self.model = model
@@ -75,31 +75,35 @@
 
     @property
     def port(self) -> int:
-        """TCP port."""
+        """TCP port that the server listens on."""
         number: int = self._port.getHost().port
         return number
 
     @property
-    def most_connections(self) -> int:
-        """Connections open at once, at most so far."""
-        return self._site.most
+    def peak_connections(self) -> int:
+        """Largest number of connections that were open at once."""
+        return self._site.peak
 
     @property
     def refused_connections(self) -> int:
-        """Connections refused because of the cap."""
+        """Number of connections refused because of the limit."""
         return self._site.refused
 
     def listen(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Serve.
+        """Start to listen.
 
         Args:
-            host: IP address.
+            host: IP address to listen on.
             port: TCP port; 0 lets the system choose.
         """
         self._port = self._reactor.listenTCP(port, self._site, interface=host, backlog=128)
 
     def close(self) -> Any:
-        """Stop serving."""
+        """Stop listening.
+
+        Returns:
+            An awaitable that completes when the socket is closed.
+        """
         return http_server.close(self._port)
 
     def _routes(self) -> klein.Klein:
@@ -130,13 +134,13 @@
             request.setHeader(name, value)
         if outcome.snapshot is not None:
             request.setHeader(target_http.SNAPSHOT, str(outcome.snapshot))
-        found = outcome.verdict
-        if found.is_ok:
+        outcome_verdict = outcome.verdict
+        if outcome_verdict.is_ok:
             return outcome.body
-        request.setResponseCode(503 if found.is_not_run else 500)
-        if found.is_not_run:
-            request.setHeader(target_http.NOT_RUN, _REFUSAL_BY_REASON[found.reason])
-        return found.detail.encode()
+        request.setResponseCode(503 if outcome_verdict.is_not_run else 500)
+        if outcome_verdict.is_not_run:
+            request.setHeader(target_http.NOT_RUN, _REFUSAL_BY_REASON[outcome_verdict.reason])
+        return outcome_verdict.detail.encode()
 
     def _cancel(self, request: Any) -> bytes:
         self.model.cancel(request.getHeader(target_http.REQUEST) or "")
@@ -162,7 +166,7 @@
             "cancelled": books.cancelled,
             "started_after_leaving": books.started_after_leaving,
             "doubled": sum(1 for count in books.started.values() if count > 1),
-            "most_connections": self.most_connections,
+            "most_connections": self.peak_connections,
             "at": time.time(),
         }
         return http_server.write_json(request, document)
