--- a/bench/drills.py
+++ b/bench/drills.py
@@ -36,7 +36,7 @@
 AWAY_SECONDS = (0.3, 3.0)
 """Seconds that the store is away: least and most."""
 
-REWRITTEN_SECONDS = (0.05, 0.6)
+REWRITE_DELAY_SECONDS = (0.05, 0.6)
 """Seconds after the return until operators and targets have written again: least and most."""
 
 BUSY_SECONDS = 9.0
@@ -146,10 +146,10 @@
     def _drill(self) -> None:
         """Let the store go away and come back from an older copy."""
         rng = self._rng
-        copy = self._world.drill.copy_of(self._clock.seconds() - rng.uniform(*COPY_AGES))
+        copy = self._world.drill.newest_copy(self._clock.seconds() - rng.uniform(*COPY_AGES))
         self._go_away()
         self._pass(rng.uniform(*AWAY_SECONDS), lambda: None)
-        self._return(copy, rng.uniform(*REWRITTEN_SECONDS))
+        self._return(copy, rng.uniform(*REWRITE_DELAY_SECONDS))
 
     def _disturb(self) -> None:
         """Let one instance stand still, or cut it off from the store or from all."""
@@ -196,7 +196,7 @@
     def _return(self, copy: store_model.StoreCopy, rewritten: float) -> None:
         self._world.server.faults.is_silent = False
         self._world.server.faults.is_down = False
-        self._world.drill.come_back(copy, rewritten)
+        self._world.drill.restore(copy, rewritten)
         self._sure_at = self._clock.seconds() + rewritten + BOUND
 
     def _due(self, at: float, lapse: float = 0.0) -> float:
--- a/bench/platform.py
+++ b/bench/platform.py
@@ -204,7 +204,7 @@
             revision: int | None = platform.model.transact(wanted, rows, removed)
         except store_model.MismatchError:
             revision = None
-        except store_model.NoLeaseError as error:
+        except store_model.LeaseNotFoundError as error:
             raise store.LeaseGoneError("no such lease") from error
         if drawn < faults.lost_request_share + faults.lost_reply_share:
             raise store.StoreUnsureError("the reply was lost")
@@ -222,7 +222,7 @@
         await self._travel("renew")
         try:
             self._platform.model.renew(lease.number)
-        except store_model.NoLeaseError as error:
+        except store_model.LeaseNotFoundError as error:
             raise store.LeaseGoneError("no such lease") from error
 
     def _changes(self, prefix: str, after: positions.Position) -> list[store_items.Change]:
--- a/bench/soak/actions.py
+++ b/bench/soak/actions.py
@@ -40,7 +40,7 @@
 RETURN_SLACK = 0.1
 """Seconds after the store's return at which targets leave and the set of shards changes."""
 
-REWRITTEN_SECONDS = 0.6
+REWRITE_DELAY_SECONDS = 0.6
 """Seconds after the store's return from an older copy until operators and targets write again."""
 
 LINK_DELAY = 0.1
@@ -177,7 +177,7 @@
         if _strikes_store(step):
             now = self._reactor.seconds()
             is_drill = step.kind is plan.Kind.STORE_OLDER
-            more = store_process.LOST_SECONDS + REWRITTEN_SECONDS if is_drill else 0.0
+            more = store_process.LOST_SECONDS + REWRITE_DELAY_SECONDS if is_drill else 0.0
             self.store_faults.append((now, now + step.seconds + more))
             if is_drill:
                 self.older.append(self.store_faults[-1])
@@ -228,7 +228,7 @@
 
     def _begin_drill(self, step: plan.Step) -> None:
         """Let the store come back from an older copy; what changes then is numbered as before."""
-        away, rewritten = step.seconds, REWRITTEN_SECONDS
+        away, rewritten = step.seconds, REWRITE_DELAY_SECONDS
         self._announce(step.subjects, "ready")
         self._store.begin_drill(step.value / 1000, away, rewritten)
         after = store_process.LOST_SECONDS + away + RETURN_SLACK
@@ -240,7 +240,7 @@
         (hall,) = step.subjects
         key = documents.evacuation_key(hall)
         now = self._reactor.seconds()
-        self._store.write(key, documents.encoded("{}"))
+        self._store.write(key, documents.encode_value("{}"))
         self.evacuated.append(history.Evacuated(hall, now, now + step.seconds))
         self._schedule.later(step.seconds, self._store.remove, key)
 
--- a/bench/soak/processes.py
+++ b/bench/soak/processes.py
@@ -171,7 +171,7 @@
         """Write the entry of the target at a place."""
         address = f"127.0.0.1:{place.link_port}"
         entry = documents.target_entry(place.service, address, place.hall, SLOTS, state)
-        self.write(documents.target_key(place.target), documents.encoded(entry))
+        self.write(documents.target_key(place.target), documents.encode_value(entry))
 
 
 class Links:
--- a/bench/soak/store_process.py
+++ b/bench/soak/store_process.py
@@ -7,7 +7,7 @@
 
 from bench.soak import _control
 from lineworks.kernel import steady_reactor
-from lineworks.platform.standins import store_drill, store_model, store_server
+from lineworks.platform.standins import store_model, store_rollback, store_server
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,8 +39,8 @@
     model = store_model.StoreModel(reactor)
     server = store_server.StoreServer(reactor, model)
     server.listen(reactor, port=port)
-    drill = store_drill.StoreDrill(reactor, model)
-    drill.keep_copies()
+    drill = store_rollback.StoreRollback(reactor, model)
+    drill.schedule_copies()
 
     def write_others(count: int) -> None:
         for _ in range(count):
@@ -48,17 +48,17 @@
 
     def begin_drill(order: dict[str, Any]) -> None:
         """Go away, and come back from an older copy later."""
-        copy = drill.copy_of(reactor.seconds() - order["age"])
+        copy = drill.newest_copy(reactor.seconds() - order["age"])
         write_others(LOST_WRITES)
         reactor.callLater(LOST_SECONDS, go_away, copy, order)
 
     def go_away(copy: store_model.StoreCopy, order: dict[str, Any]) -> None:
         server.faults.is_silent = True
-        reactor.callLater(order["away"], come_back, copy, order)
+        reactor.callLater(order["away"], restore, copy, order)
 
-    def come_back(copy: store_model.StoreCopy, order: dict[str, Any]) -> None:
+    def restore(copy: store_model.StoreCopy, order: dict[str, Any]) -> None:
         server.faults.is_silent = False
-        drill.come_back(copy, order["rewritten"])
+        drill.restore(copy, order["rewritten"])
         for place in range(LATER_WRITES):
             reactor.callLater(place * LATER_SECONDS, write_others, 1)
 
@@ -66,7 +66,7 @@
         "write": lambda order: model.write(order["key"], order["value"]),
         "remove": lambda order: drill.remove(order["key"]),
         "drill": begin_drill,
-        "forget": lambda order: model.forget_history(),
+        "forget": lambda order: model.compact(),
         "fault": lambda order: setattr(server.faults, order["name"], order["value"]),
     }
     _control.follow(reactor, lambda order: orders[order["do"]](order))
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -109,8 +109,8 @@
         self._links.handle(frames.Heartbeat, self._on_heartbeat)
         without = settings.without
         self._links.compresses = mechanisms.Mechanism.LINK_COMPRESSION not in without
-        repeats = mechanisms.Mechanism.STORE_REPEATS not in without
-        self._store = store.Store(reactor, settings.store, repeats=repeats)
+        resends_reads = mechanisms.Mechanism.STORE_REPEATS not in without
+        self._store = store.Store(reactor, settings.store, resends_reads=resends_reads)
         cold = cold_targets.ColdAllowance(settings.name, settings.cold_bound)
         self._book = target_book.TargetBook(
             settings.hall, settings.regions, self._rng, without, cold
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -301,7 +301,7 @@
         self, response: client_connection.Response, found: verdict.Verdict
     ) -> None:
         """Return a target's response to the caller unchanged."""
-        is_false_promise = headers.is_promise(response.status) and not found.is_not_run
+        is_false_promise = headers.implies_not_run(response.status) and not found.is_not_run
         if is_false_promise and not self._call.is_repeatable:
             self._finish_without(found.reason, f"the target ran it and answered {response.status}")
             return
--- a/src/lineworks/models/caller_http.py
+++ b/src/lineworks/models/caller_http.py
@@ -34,12 +34,12 @@
 WORKSPACE_FIELD = "workspace"
 """Name under which selectors see the workspace."""
 
-OLD_WORKSPACE_FIELD = "tenant"
+LEGACY_WORKSPACE_FIELD = "tenant"
 """Name of the same before: callers may still send it, and selectors may still match it."""
 
 _Workspace = pydantic.Field(
     default="none",
-    validation_alias=pydantic.AliasChoices(WORKSPACE_FIELD, OLD_WORKSPACE_FIELD),
+    validation_alias=pydantic.AliasChoices(WORKSPACE_FIELD, LEGACY_WORKSPACE_FIELD),
 )
 _DeadlineMs = pydantic.Field(
     default=DEFAULT_DEADLINE_MS, ge=1, le=int(deadlines.MAX_TIMEOUT_SECONDS * 1000)
@@ -91,7 +91,7 @@
             **self.fields,
             CLASS_FIELD: self.caller_class,
             WORKSPACE_FIELD: self.workspace,
-            OLD_WORKSPACE_FIELD: self.workspace,
+            LEGACY_WORKSPACE_FIELD: self.workspace,
         }
 
 
--- a/src/lineworks/platform/_fields.py
+++ b/src/lineworks/platform/_fields.py
@@ -5,10 +5,10 @@
 import json
 from typing import Any
 
-MOST_NUMBER = 2**63 - 1
+MAX_NUMBER = 2**63 - 1
 """Greatest number that a document may hold, as other languages can read it."""
 
-MOST_SHOWN = 80
+MAX_VALUE_CHARACTERS = 80
 """Characters of a wrong value that an error names."""
 
 
@@ -44,7 +44,7 @@
         """Names of all fields."""
         return list(self._table)
 
-    def secret(self) -> Fields:
+    def redacted(self) -> Fields:
         """Give the same table, of which errors show no value."""
         return Fields(self._table, self._path, is_secret=True)
 
@@ -52,51 +52,52 @@
         """Read true or false."""
         value = self._get(name, default)
         if not isinstance(value, bool):
-            raise self._wrong(name, "true or false")
+            raise self._invalid_value(name, "true or false")
         return value
 
     def text(self, name: str, default: str | None = None) -> str:
         """Read a text that is not empty."""
         value = self._get(name, default)
-        if not isinstance(value, str) or not value or not is_writable(value):
-            raise self._wrong(name, "a text")
+        if not isinstance(value, str) or not value or not is_utf8_encodable(value):
+            raise self._invalid_value(name, "a text")
         return value
 
-    def any_text(self, name: str) -> str:
+    def text_or_empty(self, name: str) -> str:
         """Read a text; a missing one is empty."""
         value = self._table.get(name, "")
         if not isinstance(value, str):
-            raise self._wrong(name, "a text")
+            raise self._invalid_value(name, "a text")
         return value
 
-    def number(self, name: str, default: float | None = None, least: float = 0.0) -> float:
-        """Read a number of at least `least`."""
+    def number(self, name: str, default: float | None = None, minimum: float = 0.0) -> float:
+        """Read a number of at least `minimum`."""
         value = self._get(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise self._wrong(name, f"a number of at least {least:g}")
+            raise self._invalid_value(name, f"a number of at least {minimum:g}")
         # Not a number and infinity compare as false.
-        if not least <= value <= MOST_NUMBER:
-            raise self._wrong(name, f"a number of at least {least:g}")
+        if not minimum <= value <= MAX_NUMBER:
+            raise self._invalid_value(name, f"a number of at least {minimum:g}")
         return float(value)
 
-    def integer(self, name: str, default: int | None = None, least: int = 0) -> int:
-        """Read a whole number of at least `least`."""
+    def integer(self, name: str, default: int | None = None, minimum: int = 0) -> int:
+        """Read a whole number of at least `minimum`."""
         value = self._get(name, default)
         if isinstance(value, bool) or not isinstance(value, int):
-            raise self._wrong(name, f"a whole number of at least {least}")
-        if not least <= value <= MOST_NUMBER:
-            raise self._wrong(name, f"a whole number from {least} to {MOST_NUMBER}")
+            raise self._invalid_value(name, f"a whole number of at least {minimum}")
+        if not minimum <= value <= MAX_NUMBER:
+            raise self._invalid_value(name, f"a whole number from {minimum} to {MAX_NUMBER}")
         return value
 
     def table(self, name: str) -> Fields:
         """Read a table."""
-        return Fields(self._get(name, None), self._at(name), self._is_secret)
+        return Fields(self._get(name, None), self._field_path(name), self._is_secret)
 
     def tables(self, name: str) -> list[Fields]:
         """Read a list of tables; a missing one is empty."""
         listed = self.items(name)
         return [
-            Fields(item, self.at(name, index), self._is_secret) for index, item in enumerate(listed)
+            Fields(item, self.item_path(name, index), self._is_secret)
+            for index, item in enumerate(listed)
         ]
 
     def items(self, name: str) -> list[Any]:
@@ -105,39 +106,39 @@
         if value is None:
             return []
         if not isinstance(value, list):
-            raise self._wrong(name, "a list")
+            raise self._invalid_value(name, "a list")
         return value
 
     def texts(self, name: str) -> tuple[str, ...]:
         """Read a list of texts; a missing one is empty."""
         listed = self.items(name)
         if not all(isinstance(item, str) and item for item in listed):
-            raise self._wrong(name, "a list of texts")
+            raise self._invalid_value(name, "a list of texts")
         return tuple(listed)
 
     def address(self, name: str) -> tuple[str, int]:
         """Read an address of the form IP:PORT."""
-        return parse_address(self.text(name), self._at(name))
+        return parse_address(self.text(name), self._field_path(name))
 
-    def at(self, name: str, index: int) -> str:
+    def item_path(self, name: str, index: int) -> str:
         """Tell where an item of a list stands, for errors."""
-        return f"{self._at(name)}.{index}"
+        return f"{self._field_path(name)}.{index}"
 
     def _get(self, name: str, default: Any) -> Any:
         value = self._table.get(name)
         if value is None:
             value = default
         if value is None:
-            raise DocumentError(f"{self._at(name)}: missing")
+            raise DocumentError(f"{self._field_path(name)}: missing")
         return value
 
-    def _at(self, name: str) -> str:
+    def _field_path(self, name: str) -> str:
         return f"{self._path}.{name}" if self._path else name
 
-    def _wrong(self, name: str, expected: str) -> DocumentError:
+    def _invalid_value(self, name: str, expected: str) -> DocumentError:
         value = self._table.get(name)
-        found = type(value).__name__ if self._is_secret else _shown(value)
-        return DocumentError(f"{self._at(name)}: expected {expected}, found {found}")
+        found = type(value).__name__ if self._is_secret else _format_value(value)
+        return DocumentError(f"{self._field_path(name)}: expected {expected}, found {found}")
 
 
 def parse_address(text: str, path: str) -> tuple[str, int]:
@@ -159,7 +160,7 @@
     return host, int(port)
 
 
-def is_writable(text: str) -> bool:
+def is_utf8_encodable(text: str) -> bool:
     """Say whether a text can be written as UTF-8.
 
     Args:
@@ -189,8 +190,8 @@
         raise DocumentError(f"(document): {error}") from error
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     """Show a value of any type in an error, shortly and without what no log can write."""
-    if isinstance(value, int) and abs(value) > MOST_NUMBER:
+    if isinstance(value, int) and abs(value) > MAX_NUMBER:
         return "a longer number"
-    return ascii(value)[:MOST_SHOWN]
+    return ascii(value)[:MAX_VALUE_CHARACTERS]
--- a/src/lineworks/platform/_store_connections.py
+++ b/src/lineworks/platform/_store_connections.py
@@ -21,7 +21,7 @@
 CONNECT_SECONDS = 1.0
 """Seconds to wait for a connection."""
 
-REPEAT_SECONDS = 0.2
+RESEND_SECONDS = 0.2
 """Seconds without an answer after which a read is sent again: fifty times what the store usually
 takes, and a fifteenth of the time in which a change must be in force. An instance that starts
 beside a silent store asks again within that time of the store's return."""
@@ -67,13 +67,13 @@
         Raises:
             ConnectError: There is no connection.
         """
-        end: client_connection.Response | client_connection.ConnectionFailure = await _RepeatedRead(
+        end: client_connection.Response | client_connection.ConnectionFailure = await _ResentRead(
             self._reactor, functools.partial(self.exchange, data), timeout, on_sent
         ).start()
         return end
 
     async def exchange(
-        self, data: bytes, timeout: float, is_new: bool = False
+        self, data: bytes, timeout: float, discard_idle: bool = False
     ) -> client_connection.Response | client_connection.ConnectionFailure:
         """Send a request and wait for its answer.
 
@@ -88,11 +88,11 @@
         Raises:
             ConnectError: There is no connection.
         """
-        if is_new:
+        if discard_idle:
             self.close()
         connection = await self._connect()
         ended: defer.Deferred[Any] = defer.Deferred()
-        timer = self._reactor.callLater(timeout, _give_up, connection, ended)
+        timer = self._reactor.callLater(timeout, _on_timeout, connection, ended)
         connection.send(data, False, lambda end: None if ended.called else ended.callback(end))
         try:
             end: client_connection.Response | client_connection.ConnectionFailure = await ended
@@ -125,7 +125,7 @@
         return connected
 
 
-class _RepeatedRead:
+class _ResentRead:
     """One read under way on several connections."""
 
     def __init__(
@@ -153,15 +153,15 @@
         """
         left = self._deadline - self._reactor.seconds()
         self._limit = self._reactor.callLater(left, self._on_deadline)
-        self._send(is_new=False)
+        self._send(discard_idle=False)
         return self._ended
 
-    def _send(self, is_new: bool) -> None:
+    def _send(self, discard_idle: bool) -> None:
         left = self._deadline - self._reactor.seconds()
-        if left > REPEAT_SECONDS:
-            self._timer = self._reactor.callLater(REPEAT_SECONDS, self._send, True)
+        if left > RESEND_SECONDS:
+            self._timer = self._reactor.callLater(RESEND_SECONDS, self._send, True)
         self._on_sent()
-        running = defer.ensureDeferred(self._exchange(left, is_new))
+        running = defer.ensureDeferred(self._exchange(left, discard_idle))
         self._running.append(running)
         running.addBoth(self._on_end, running)
 
@@ -220,6 +220,6 @@
         self._opened.callback(type(reason.value).__name__)
 
 
-def _give_up(connection: _StoreConnection, ended: defer.Deferred[Any]) -> None:
+def _on_timeout(connection: _StoreConnection, ended: defer.Deferred[Any]) -> None:
     connection.abort()
     ended.callback(client_connection.ConnectionFailure("no answer in time", False))
--- a/src/lineworks/platform/configuration.py
+++ b/src/lineworks/platform/configuration.py
@@ -8,8 +8,8 @@
 KEY = "op/config"
 """Key of the newest configuration."""
 
-_REPEATABLE = "idempotent"
-_KINDS = (_REPEATABLE, "non_idempotent")
+_IDEMPOTENT = "idempotent"
+_ROUTE_TYPES = (_IDEMPOTENT, "non_idempotent")
 
 
 class ConfigurationError(Exception):
@@ -38,7 +38,7 @@
     services = [
         routes.ServiceSpec(
             item.text("Name"),
-            item.integer("MaxConns", 25, least=1),
+            item.integer("MaxConns", 25, minimum=1),
             item.number("WarmupS", 0.0),
             item.number("WarmupPerS", 0.0),
         )
@@ -51,7 +51,7 @@
         listed,
         services,
         limits,
-        workspaces.Workspaces(_workspaces(found.secret())),
+        workspaces.Workspaces(_workspaces(found.redacted())),
     )
 
 
@@ -62,8 +62,8 @@
     listed = []
     for index, item in enumerate(found.tables("Tenants")):
         workspace = _workspace(item)
-        path = found.at("Tenants", index)
-        if not _fits_header(workspace.name):
+        path = found.item_path("Tenants", index)
+        if not _is_header_value(workspace.name):
             raise _fields.DocumentError(f"{path}.Name: cannot stand in a header")
         if workspace.name in names:
             raise _fields.DocumentError(f"{path}.Name: stands twice")
@@ -83,7 +83,7 @@
     )
 
 
-def _keys(item: _fields.Fields, taken: set[str]) -> list[str]:
+def _keys(item: _fields.Fields, seen: set[str]) -> list[str]:
     """Read a workspace's keys. Errors tell where a wrong one stands and never what it is.
 
     Args:
@@ -92,48 +92,50 @@
     """
     listed = item.items("ApiKeys")
     for index, key in enumerate(listed):
-        path = item.at("ApiKeys", index)
+        path = item.item_path("ApiKeys", index)
         if not isinstance(key, str):
             raise _fields.DocumentError(f"{path}: expected a text")
         if not key:
             raise _fields.DocumentError(f"{path}: empty")
-        if not _fits_header(key):
+        if not _is_header_value(key):
             raise _fields.DocumentError(f"{path}: cannot stand in a header")
-        if key in taken:
+        if key in seen:
             raise _fields.DocumentError(f"{path}: stands twice")
-        taken.add(key)
+        seen.add(key)
     return listed
 
 
-def _fits_header(text: str) -> bool:
+def _is_header_value(text: str) -> bool:
     """Say whether a text comes out of a header's value as it went in."""
     return text.isprintable() and text == text.strip()
 
 
 def _limits(item: _fields.Fields) -> routes.CallerLimits:
-    usual = routes.CallerLimits()
+    defaults = routes.CallerLimits()
     return routes.CallerLimits(
-        item.integer("HeaderBytes", usual.header_bytes, least=1),
-        item.integer("BodyBytes", usual.body_bytes),
-        item.number("HeaderMs", usual.header_seconds * 1000, least=1) / 1000,
-        item.number("IdleMs", usual.idle_seconds * 1000, least=1) / 1000,
+        item.integer("HeaderBytes", defaults.header_bytes, minimum=1),
+        item.integer("BodyBytes", defaults.body_bytes),
+        item.number("HeaderMs", defaults.header_seconds * 1000, minimum=1) / 1000,
+        item.number("IdleMs", defaults.idle_seconds * 1000, minimum=1) / 1000,
     )
 
 
 def _route(item: _fields.Fields) -> routes.Route:
-    kind = item.text("RouteType", _REPEATABLE)
-    if kind not in _KINDS:
-        raise _fields.DocumentError(f"RouteType: expected one of {_KINDS}, found {kind[:80]!r}")
-    timeout = item.number("TimeoutMs", least=1) / 1000
+    kind = item.text("RouteType", _IDEMPOTENT)
+    if kind not in _ROUTE_TYPES:
+        raise _fields.DocumentError(
+            f"RouteType: expected one of {_ROUTE_TYPES}, found {kind[:80]!r}"
+        )
+    timeout = item.number("TimeoutMs", minimum=1) / 1000
     shards = item.texts("Fanout")
     return routes.Route(
         name=item.text("Name"),
         host=item.text("Hostname").lower(),
         prefix=item.text("PathPrefix"),
-        is_repeatable=kind == _REPEATABLE,
+        is_repeatable=kind == _IDEMPOTENT,
         timeout=timeout,
         slo=item.number("SloMs", timeout * 1000) / 1000,
-        max_attempts=item.integer("MaxAttempts", 1, least=1),
+        max_attempts=item.integer("MaxAttempts", 1, minimum=1),
         priority=item.integer("Priority", 0),
         split=() if shards else _split(item),
         shards=shards,
--- a/src/lineworks/platform/headers.py
+++ b/src/lineworks/platform/headers.py
@@ -25,17 +25,17 @@
 _STAMP = b"x-response-stamp"
 _LOAD = b"x-server-load"
 _COLD = b"x-warmup-left"
-_MOST_PACE = 100_000
-_USUAL_PACE = 100
+_MAX_PACE = 100_000
+_NORMAL_PACE = 100
 _NOT_RUN = b"x-not-executed"
-_WRONG_INSTANCE = 421
-_MOST_DIGITS = 9
-_PROMISES = frozenset((408, 421, 429, 503))
-_MOST_BUDGET = 600_000
-_MOST_KNOWN = 1024
+_WRONG_INSTANCE_STATUS = 421
+_MAX_DIGITS = 9
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+_MAX_BUDGET_MS = 600_000
+_LOAD_CACHE_ENTRIES = 1024
 """Reports of load that are kept with what they say."""
 
-_LONGEST_KNOWN = 32
+_MAX_CACHED_BYTES = 32
 """Bytes of such a report at most: anybody may write longer ones."""
 
 CALLER = b"authorization"
@@ -66,7 +66,7 @@
     target does not tell, or no number that makes sense."""
 
 
-def budget_of_head(head: bytes) -> float | None:
+def find_budget(head: bytes) -> float | None:
     """Find a caller's time budget in a request's head that is not parsed yet.
 
     Args:
@@ -93,7 +93,7 @@
     """
     if value is None or not value.strip().isdigit():
         return None
-    return min(int(value), _MOST_BUDGET) / 1000
+    return min(int(value), _MAX_BUDGET_MS) / 1000
 
 
 def read_key(value: bytes | None) -> bytes | None:
@@ -146,17 +146,17 @@
     Returns:
         Whether it is certain that the request has not run there and will not.
     """
-    return status == _WRONG_INSTANCE or _NOT_RUN in found
+    return status == _WRONG_INSTANCE_STATUS or _NOT_RUN in found
 
 
 def is_wrong_instance(status: int) -> bool:
     """Say whether the address belongs to another process than the one expected."""
-    return status == _WRONG_INSTANCE
+    return status == _WRONG_INSTANCE_STATUS
 
 
-def is_promise(status: int) -> bool:
+def implies_not_run(status: int) -> bool:
     """Say whether callers take a status as a promise that the request has not run."""
-    return status in _PROMISES
+    return status in _NOT_RUN_STATUSES
 
 
 def read_stamp(found: Mapping[bytes, bytes]) -> str:
@@ -184,21 +184,21 @@
     if value is None:
         return None
     # Most targets say one of a few things, again and again.
-    return _known_load(value) if len(value) <= _LONGEST_KNOWN else _load_of(value)
+    return _cached_load(value) if len(value) <= _MAX_CACHED_BYTES else _parse_load(value)
 
 
-def _load_of(value: bytes) -> LoadReport | None:
+def _parse_load(value: bytes) -> LoadReport | None:
     parts = value.split(b",")
-    running, waiting = _whole(parts, 0), _whole(parts, 1)
+    running, waiting = _parse_integer(parts, 0), _parse_integer(parts, 1)
     if running is None or waiting is None:
         return None
     # The third figure, its slots, stands in the target's entry as well.
-    pace = _whole(parts, 3)
-    is_sound = pace is not None and 0 < pace <= _MOST_PACE
-    return LoadReport(running, waiting, pace / _USUAL_PACE if pace and is_sound else None)
+    pace = _parse_integer(parts, 3)
+    is_valid = pace is not None and 0 < pace <= _MAX_PACE
+    return LoadReport(running, waiting, pace / _NORMAL_PACE if pace and is_valid else None)
 
 
-_known_load = functools.lru_cache(_MOST_KNOWN)(_load_of)
+_cached_load = functools.lru_cache(_LOAD_CACHE_ENTRIES)(_parse_load)
 
 
 def read_cold_seconds(found: Mapping[bytes, bytes]) -> float | None:
@@ -211,16 +211,16 @@
         Seconds, 0 for a warm one; None where the answer does not tell, or no whole number.
     """
     value = found.get(_COLD)
-    left = None if value is None else _whole([value], 0)
-    return None if left is None else min(left, _MOST_BUDGET) / 1000
+    left = None if value is None else _parse_integer([value], 0)
+    return None if left is None else min(left, _MAX_BUDGET_MS) / 1000
 
 
-def _whole(parts: Sequence[bytes], position: int) -> int | None:
+def _parse_integer(parts: Sequence[bytes], position: int) -> int | None:
     """Read one of several whole numbers that anybody may have written."""
     if position >= len(parts):
         return None
     text = parts[position].strip()
-    return int(text) if text.isdigit() and len(text) <= _MOST_DIGITS else None
+    return int(text) if text.isdigit() and len(text) <= _MAX_DIGITS else None
 
 
 def write_coverage(stamps: Iterable[str], missing: int) -> list[tuple[bytes, bytes]]:
--- a/src/lineworks/platform/settings.py
+++ b/src/lineworks/platform/settings.py
@@ -100,7 +100,7 @@
     allowance = extra_attempts.Allowance(
         bounds.number("RetryRatio", 0.0),
         bounds.number("RetrySlack", 0.0),
-        bounds.number("RetryWindowS", 10.0, least=0.1),
+        bounds.number("RetryWindowS", 10.0, minimum=0.1),
     )
     cold_bound = cold_targets.ColdBound(
         bounds.number("WarmupExcess", 1.0), bounds.number("WarmupSlack", 0.0)
@@ -122,7 +122,7 @@
         cold_bound=cold_bound,
         quota_bound=_quota_bound(bounds),
         revocation=_revocation(bounds),
-        stop_seconds=bounds.number("GraceS", 6.0, least=1.0),
+        stop_seconds=bounds.number("GraceS", 6.0, minimum=1.0),
         gather_rate=_gather_rate(found.table("Limits"))
         if "Limits" in found
         else gather_rate.UNKNOWN,
@@ -130,19 +130,19 @@
 
 
 def _quota_bound(bounds: _fields.Fields) -> quota.QuotaBound:
-    usual = quota.QuotaBound()
+    defaults = quota.QuotaBound()
     return quota.QuotaBound(
-        bounds.number("QuotaWindowS", usual.window, least=0.1),
-        bounds.number("QuotaExcess", usual.excess),
-        bounds.number("QuotaSlack", usual.slack),
+        bounds.number("QuotaWindowS", defaults.window, minimum=0.1),
+        bounds.number("QuotaExcess", defaults.excess),
+        bounds.number("QuotaSlack", defaults.slack),
     )
 
 
 def _revocation(bounds: _fields.Fields) -> access.RevocationPolicy:
-    usual = access.RevocationPolicy()
+    defaults = access.RevocationPolicy()
     return access.RevocationPolicy(
-        bounds.flag("StrictRevoke", usual.is_strict),
-        bounds.number("RevokeMs", usual.seconds * 1000) / 1000,
+        bounds.flag("StrictRevoke", defaults.is_strict),
+        bounds.number("RevokeMs", defaults.seconds * 1000) / 1000,
     )
 
 
--- a/src/lineworks/platform/standins/documents.py
+++ b/src/lineworks/platform/standins/documents.py
@@ -12,13 +12,13 @@
 CONFIGURATION_KEY = "op/config"
 """Key that holds the newest configuration."""
 
-FOREIGN_PREFIXES = ("op/", "servers/")
+EXTERNAL_PREFIXES = ("op/", "servers/")
 """Prefixes of the keys that operators and targets write."""
 
 READINESS_REQUEST = b"GET /lineworks/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
 """What the balancer sends."""
 
-_USUAL_ROUTE = {
+_DEFAULT_ROUTE = {
     "Hostname": "x.example",
     "RouteType": "idempotent",
     "TimeoutMs": 2000,
@@ -94,7 +94,7 @@
     """
     document = {
         "ConfigVersion": version,
-        "Routing": [{**_USUAL_ROUTE, **route} for route in routes],
+        "Routing": [{**_DEFAULT_ROUTE, **route} for route in routes],
         "Services": [
             {
                 "Name": name,
@@ -107,7 +107,7 @@
         "Limits": _LIMITS,
         **({"Tenants": list(workspaces)} if workspaces else {}),
     }
-    return encoded(json.dumps(document))
+    return encode_value(json.dumps(document))
 
 
 def workspace(
@@ -140,7 +140,7 @@
     }
 
 
-def encoded(text: str) -> str:
+def encode_value(text: str) -> str:
     """Encode a value as the store holds it."""
     return base64.b64encode(text.encode()).decode()
 
--- a/src/lineworks/platform/standins/http_target.py
+++ b/src/lineworks/platform/standins/http_target.py
@@ -64,10 +64,10 @@
     loses_answers: bool = False
     """Whether it resets the connection after the work."""
 
-    is_mute: bool = False
+    never_answers: bool = False
     """Whether it works and never answers."""
 
-    surplus: bytes = b""
+    trailing_bytes: bytes = b""
     """Bytes that it sends after each answer."""
 
     status: int = 200
@@ -86,7 +86,7 @@
         service: str,
         hall: str,
         work: Callable[[], float],
-        book: list[Run],
+        runs: list[Run],
     ) -> None:
         """Make a target; `listen` starts it.
 
@@ -103,7 +103,7 @@
         self.service = service
         self.hall = hall
         self.work = work
-        self.book = book
+        self.runs = runs
         self.port = 8000
         self.slots = 2
         self.born: int | None = None
@@ -215,7 +215,7 @@
             return
         now = target.host.seconds()
         run = Run(target.name, attempt, method, path, body, now, headers)
-        target.book.append(run)
+        target.runs.append(run)
         self._is_working = True
         if target.is_fatal(run):
             target.host.callLater(CRASH_SECONDS, target.on_crash, run)
@@ -224,7 +224,7 @@
 
     def _finish(self, attempt: str) -> None:
         target = self._target
-        if not self._is_working or target.faults.is_mute:
+        if not self._is_working or target.faults.never_answers:
             return
         self._is_working = False
         if target.faults.loses_answers:
@@ -236,4 +236,4 @@
     def _answer(self, status: int, attempt: str, body: bytes, more: str) -> None:
         head = f"HTTP/1.1 {status} X\r\nX-Attempt-Id: {attempt}\r\n{more}"
         framing = f"Content-Length: {len(body)}\r\n\r\n"
-        self.transport.write((head + framing).encode() + body + self._target.faults.surplus)
+        self.transport.write((head + framing).encode() + body + self._target.faults.trailing_bytes)
--- a/src/lineworks/platform/standins/store_model.py
+++ b/src/lineworks/platform/standins/store_model.py
@@ -26,7 +26,7 @@
     """A key had another revision than expected."""
 
 
-class NoLeaseError(Exception):
+class LeaseNotFoundError(Exception):
     """There is no such lease."""
 
 
@@ -74,7 +74,7 @@
         self._clock = clock
         self._items: dict[str, StoredItem] = {}
         self._history: list[StoredChange] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._leases: dict[int, tuple[float, float]] = {}
         self._next_lease = _FIRST_LEASE
         self._watchers: list[tuple[str, Callable[[], None]]] = []
@@ -89,12 +89,12 @@
             self.revision,
             dict(self._items),
             list(self._history),
-            self._forgotten,
+            self._compacted_revision,
             dict(self._leases),
             self._next_lease,
         )
 
-    def come_back(self, copy: StoreCopy) -> None:
+    def restore(self, copy: StoreCopy) -> None:
         """Go on from an older copy; whoever waits for a change is told to ask again.
 
         Args:
@@ -103,7 +103,7 @@
         self.revision = copy.revision
         self._items = dict(copy.items)
         self._history = list(copy.history)
-        self._forgotten = copy.forgotten
+        self._compacted_revision = copy.forgotten
         self._leases = dict(copy.leases)
         self._next_lease = copy.next_lease
         self.era += 1
@@ -145,7 +145,7 @@
             CompactedError: Some of them are forgotten, or it does not have that revision.
         """
         self._expire()
-        if after < self._forgotten or after > self.revision:
+        if after < self._compacted_revision or after > self.revision:
             raise CompactedError
         return [c for c in self._history if c.revision > after and c.key.startswith(prefix)]
 
@@ -175,13 +175,13 @@
             if (item.revision if item else 0) != revision:
                 raise MismatchError
         if any(lease and lease not in self._leases for _, _, lease in writes):
-            raise NoLeaseError
+            raise LeaseNotFoundError
         self.revision += 1
         for key, value, lease in writes:
-            self._put(key, value, lease)
+            self._put_item(key, value, lease)
         for key in removed:
-            self._drop(key)
-        self._wake()
+            self._remove_item(key)
+        self._notify_watchers()
         return self.revision
 
     def write(self, key: str, value: str) -> int:
@@ -210,7 +210,7 @@
         """
         self._expire()
         if lease not in self._leases:
-            raise NoLeaseError
+            raise LeaseNotFoundError
         seconds = self._leases[lease][1]
         self._leases[lease] = (self._clock.seconds() + seconds, seconds)
         return seconds
@@ -222,13 +222,13 @@
         if gone:
             self.revision += 1
             for key in gone:
-                self._drop(key)
-            self._wake()
+                self._remove_item(key)
+            self._notify_watchers()
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Forget all changes so far."""
         self._history.clear()
-        self._forgotten = self.revision
+        self._compacted_revision = self.revision
 
     def wait(self, prefix: str, on_change: Callable[[], None]) -> Callable[[], None]:
         """Wait for a change below a prefix.
@@ -249,14 +249,14 @@
 
         return stop
 
-    def _put(self, key: str, value: str, lease: int) -> None:
+    def _put_item(self, key: str, value: str, lease: int) -> None:
         old = self._items.get(key)
         created = old.created if old else self.revision
         item = StoredItem(key, value, self.revision, created, lease)
         self._items[key] = item
         self._history.append(StoredChange(key, self.revision, item))
 
-    def _drop(self, key: str) -> None:
+    def _remove_item(self, key: str) -> None:
         if self._items.pop(key, None) is not None:
             self._history.append(StoredChange(key, self.revision, None))
 
@@ -265,9 +265,9 @@
         for lease in [lease for lease, (until, _) in self._leases.items() if until <= now]:
             self.end(lease)
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         newest = {c.key for c in self._history if c.revision == self.revision}
-        due = [w for w in self._watchers if any(key.startswith(w[0]) for key in newest)]
-        self._watchers = [watcher for watcher in self._watchers if watcher not in due]
-        for _, on_change in due:
+        notified = [w for w in self._watchers if any(key.startswith(w[0]) for key in newest)]
+        self._watchers = [watcher for watcher in self._watchers if watcher not in notified]
+        for _, on_change in notified:
             on_change()
--- a/src/lineworks/platform/standins/store_drill.py
+++ b/src/lineworks/platform/standins/store_rollback.py
@@ -10,17 +10,17 @@
 if TYPE_CHECKING:
     from lineworks.platform.standins import store_model
 
-COPY_SECONDS = 0.2
+COPY_INTERVAL_SECONDS = 0.2
 """Seconds between the copies that are kept."""
 
-KEPT_SECONDS = 8.0
+COPY_RETENTION_SECONDS = 8.0
 """Seconds for which a copy is kept."""
 
-REWRITTEN_SECONDS = 0.6
+REWRITE_DELAY_SECONDS = 0.6
 """Seconds after the return in which operators and targets write again."""
 
 
-class StoreDrill:
+class StoreRollback:
     """Copies of a store, and what others write again after its return."""
 
     def __init__(self, clock: Any, model: store_model.StoreModel) -> None:
@@ -33,21 +33,21 @@
         self._clock = clock
         self._model = model
         self._copies: collections.deque[tuple[float, store_model.StoreCopy]] = collections.deque()
-        self._to_write_again: dict[str, str] = {}
+        self._external_before: dict[str, str] = {}
 
-    def keep_copies(self) -> None:
+    def schedule_copies(self) -> None:
         """Copy the store now and then, from now on."""
         self.take_copy()
-        self._clock.callLater(COPY_SECONDS, self.keep_copies)
+        self._clock.callLater(COPY_INTERVAL_SECONDS, self.schedule_copies)
 
     def take_copy(self) -> None:
         """Copy the store now, and drop copies that are too old."""
         now = self._clock.seconds()
         self._copies.append((now, self._model.copy()))
-        while self._copies[0][0] < now - KEPT_SECONDS:
+        while self._copies[0][0] < now - COPY_RETENTION_SECONDS:
             self._copies.popleft()
 
-    def copy_of(self, at: float) -> store_model.StoreCopy:
+    def newest_copy(self, at: float) -> store_model.StoreCopy:
         """Find the newest copy that is not newer than a time, or else the oldest one.
 
         Args:
@@ -59,8 +59,8 @@
         older = [copy for taken, copy in self._copies if taken <= at]
         return older[-1] if older else self._copies[0][1]
 
-    def come_back(
-        self, copy: store_model.StoreCopy, rewritten_after: float = REWRITTEN_SECONDS
+    def restore(
+        self, copy: store_model.StoreCopy, rewrite_delay: float = REWRITE_DELAY_SECONDS
     ) -> None:
         """Let the store go on from a copy.
 
@@ -71,27 +71,27 @@
             copy: The copy.
             rewritten_after: Seconds until the operators and the targets have written again.
         """
-        self._to_write_again = self._foreign_items()
-        self._model.come_back(copy)
-        self._clock.callLater(rewritten_after, self._write_again, copy.revision)
+        self._external_before = self._external_items()
+        self._model.restore(copy)
+        self._clock.callLater(rewrite_delay, self._restore_external, copy.revision)
 
     def remove(self, key: str) -> None:
         """Remove a key, as its writer does; it is not written again."""
-        self._to_write_again.pop(key, None)
+        self._external_before.pop(key, None)
         self._model.remove(key)
 
-    def _foreign_items(self) -> dict[str, str]:
+    def _external_items(self) -> dict[str, str]:
         """List what others than the instances keep in the store."""
         return {
             item.key: item.value
-            for prefix in documents.FOREIGN_PREFIXES
+            for prefix in documents.EXTERNAL_PREFIXES
             for item in self._model.page(prefix, "")[0]
         }
 
-    def _write_again(self, copied: int) -> None:
+    def _restore_external(self, copied: int) -> None:
         """Restore keys of others, unless they were written since the store's return."""
-        held, self._to_write_again = self._to_write_again, {}
-        present = self._foreign_items()
+        held, self._external_before = self._external_before, {}
+        present = self._external_items()
         written = {change.key for change in self._model.changes("", copied)}
         for key, value in held.items():
             if key not in written and present.get(key) != value:
--- a/src/lineworks/platform/standins/store_server.py
+++ b/src/lineworks/platform/standins/store_server.py
@@ -19,7 +19,7 @@
 
     Answer = Callable[[server_connection.Answer], None]
 
-MAX_WAIT = 30.0
+MAX_WAIT_SECONDS = 30.0
 """Seconds that a watch may wait at most."""
 
 
@@ -59,7 +59,7 @@
         self.faults = Faults()
         self.calls: collections.Counter[str] = collections.Counter()
         """Calls taken so far, by path."""
-        self.tells_era: Callable[[], bytes] = lambda: b"%d" % model.era
+        self.era_header: Callable[[], bytes] = lambda: b"%d" % model.era
         """Says in which era the store is, as its answers tell it."""
         self.factory = server_connection.Server(
             clock,
@@ -93,47 +93,47 @@
         self.calls[name] += 1
         if self.faults.is_silent:
             return
-        tell = self._with_era(answer)
+        answer_with_era = self._with_era(answer)
         if self.faults.is_down or self.faults.is_busy:
-            tell(server_connection.Answer(503 if self.faults.is_down else 429))
+            answer_with_era(server_connection.Answer(503 if self.faults.is_down else 429))
             return
-        wanted = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
-        later = self._with_era(self._delayed(answer))
+        parameters = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
+        delayed = self._with_era(self._delayed(answer))
         if name == "kv-watch":
-            self._watch(wanted, later)
+            self._watch(parameters, delayed)
             return
-        found = self._handle(name, path, wanted, request.body)
+        found = self._handle(name, path, parameters, request.body)
         if name == "kv-txn" and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             return
-        later(found)
+        delayed(found)
 
     def _with_era(self, answer: Answer) -> Answer:
         """Tell in an answer which copy the store worked with when it was made."""
 
-        def tell(found: server_connection.Answer) -> None:
-            era = (b"Store-Era", self.tells_era())
+        def answer_with_era(found: server_connection.Answer) -> None:
+            era = (b"Store-Era", self.era_header())
             answer(dataclasses.replace(found, fields=[*found.fields, era]))
 
-        return tell
+        return answer_with_era
 
     def _delayed(self, answer: Answer) -> Answer:
         if not self.faults.delay:
             return answer
 
-        def later(found: server_connection.Answer) -> None:
+        def delayed(found: server_connection.Answer) -> None:
             self._clock.callLater(self.faults.delay, answer, found)
 
-        return later
+        return delayed
 
     def _handle(
-        self, name: str, path: str, wanted: dict[str, str], body: bytes
+        self, name: str, path: str, parameters: dict[str, str], body: bytes
     ) -> server_connection.Answer:
         try:
             if name == "kv-key":
-                return self._key(wanted)
+                return self._key(parameters)
             if name == "kv-range":
-                return self._range(wanted)
+                return self._range(parameters)
             if name == "kv-txn":
                 return self._transact(json.loads(body))
             if name == "kv-lease":
@@ -146,20 +146,20 @@
             if name == "kv-lease-end":
                 self._model.end(lease)
                 return _json({})
-        except store_model.NoLeaseError:
+        except store_model.LeaseNotFoundError:
             return server_connection.Answer(404)
         except (ValueError, KeyError, IndexError):
             return server_connection.Answer(400)
         return server_connection.Answer(404)
 
-    def _key(self, wanted: dict[str, str]) -> server_connection.Answer:
-        item = self._model.get(wanted["PrivateKey"])
+    def _key(self, parameters: dict[str, str]) -> server_connection.Answer:
+        item = self._model.get(parameters["PrivateKey"])
         if item is None:
             return _json({"AtRev": self._model.revision}, 404)
         return _json({**_row(item), "AtRev": self._model.revision})
 
-    def _range(self, wanted: dict[str, str]) -> server_connection.Answer:
-        items, has_more = self._model.page(wanted["PathPrefix"], wanted.get("after", ""))
+    def _range(self, parameters: dict[str, str]) -> server_connection.Answer:
+        items, has_more = self._model.page(parameters["PathPrefix"], parameters.get("after", ""))
         rows = [_row(item) for item in items]
         return _json({"items": rows, "HasMore": has_more, "AtRev": self._model.revision})
 
@@ -175,9 +175,9 @@
             return _json({"items": [_row(item) for item in found if item is not None]}, 412)
         return _json({"Revision": revision})
 
-    def _watch(self, wanted: dict[str, str], answer: Answer) -> None:
-        prefix, after = wanted["PathPrefix"], int(wanted["after"])
-        wait = min(MAX_WAIT, int(wanted.get("WaitMs", "0")) / 1000)
+    def _watch(self, parameters: dict[str, str], answer: Answer) -> None:
+        prefix, after = parameters["PathPrefix"], int(parameters["after"])
+        wait = min(MAX_WAIT_SECONDS, int(parameters.get("WaitMs", "0")) / 1000)
         if self._answer_changes(prefix, after, answer, must=not wait):
             return
         is_over = False
--- a/src/lineworks/platform/store.py
+++ b/src/lineworks/platform/store.py
@@ -84,7 +84,7 @@
         reactor: Any,
         address: node_settings.Address,
         timeout: float = CALL_SECONDS,
-        repeats: bool = True,
+        resends_reads: bool = True,
     ) -> None:
         """Make a client; nothing is sent yet.
 
@@ -94,7 +94,7 @@
             timeout: Seconds to wait for an answer.
             repeats: Whether reads are sent again while no answer comes.
         """
-        self._repeats = repeats
+        self._resends_reads = resends_reads
         self._timeout = timeout
         self._address = address
         self._connections = _store_connections.StoreConnections(reactor, address)
@@ -122,12 +122,12 @@
         Raises:
             StoreError: The store cannot be reached or refused.
         """
-        path = f"/lineworks/kv-key?{_query({_KEY: key})}"
+        path = f"/lineworks/kv-key?{_query_string({_KEY: key})}"
         answer = await self._read("get", path)
         if answer.status == 404:
             return None
         _expect_ok("get", answer)
-        return _decoded(lambda: _item(_fields.Fields(answer.document), answer.era))
+        return _decode_document(lambda: _item(_fields.Fields(answer.document), answer.era))
 
     async def list_items(self, prefix: str) -> store_items.Listing:
         """Read all items below a prefix, page by page.
@@ -156,10 +156,10 @@
         raise StoreError("list: too many pages")
 
     async def _page(self, prefix: str, after: str) -> _Page:
-        wanted = {"PathPrefix": prefix, **({"after": after} if after else {})}
-        answer = await self._read("list", f"/lineworks/kv-range?{_query(wanted)}")
+        parameters = {"PathPrefix": prefix, **({"after": after} if after else {})}
+        answer = await self._read("list", f"/lineworks/kv-range?{_query_string(parameters)}")
         _expect_ok("list", answer)
-        return _decoded(lambda: _decode_page(answer))
+        return _decode_document(lambda: _decode_page(answer))
 
     async def watch(
         self, prefix: str, after: positions.Position, wait: float
@@ -181,10 +181,10 @@
         self.era.learn(after.era)
         if after.era < self.era.value:
             raise HistoryGoneError("watch: the store came back from an older copy")
-        wanted = {"PathPrefix": prefix, "after": after.revision, "WaitMs": int(wait * 1000)}
-        path = f"/lineworks/kv-watch?{_query(wanted)}"
+        parameters = {"PathPrefix": prefix, "after": after.revision, "WaitMs": int(wait * 1000)}
+        path = f"/lineworks/kv-watch?{_query_string(parameters)}"
         if wait:
-            answer = await self._call("watch", "GET", path, more=wait)
+            answer = await self._call("watch", "GET", path, extra_seconds=wait)
         else:
             answer = await self._read("watch", path)
         # Not only when it refuses: a store whose new count has passed the old revision answers,
@@ -194,7 +194,7 @@
         if answer.status == 410:
             raise HistoryGoneError("watch: the history is gone")
         _expect_ok("watch", answer)
-        return _decoded(lambda: _changes(_fields.Fields(answer.document), answer.era))
+        return _decode_document(lambda: _changes(_fields.Fields(answer.document), answer.era))
 
     async def transact(
         self,
@@ -248,7 +248,7 @@
         if any(era != answer.era for era in eras):
             # It held for what has the same number now, which may be another's.
             raise StoreUnsureError("write: the store came back from an older copy")
-        revision = _decoded(lambda: _fields.Fields(answer.document).integer("Revision"))
+        revision = _decode_document(lambda: _fields.Fields(answer.document).integer("Revision"))
         return positions.Position(answer.era, revision)
 
     async def grant_lease(self, seconds: float) -> store_items.Lease:
@@ -266,7 +266,7 @@
         document = {"TtlMs": int(seconds * 1000)}
         answer = await self._call("lease", "POST", "/lineworks/kv-lease", document)
         _expect_ok("lease", answer)
-        number = _decoded(lambda: _fields.Fields(answer.document).integer("LeaseId"))
+        number = _decode_document(lambda: _fields.Fields(answer.document).integer("LeaseId"))
         return store_items.Lease(number, answer.era)
 
     async def renew_lease(self, lease: store_items.Lease) -> None:
@@ -312,16 +312,18 @@
         method: str,
         path: str,
         document: Any = None,
-        more: float = 0.0,
+        extra_seconds: float = 0.0,
     ) -> _Answer:
         self.calls[kind] += 1
         data = _request(method, path, self._address, document)
-        return await self._answer(kind, self._connections.exchange(data, self._timeout + more))
+        return await self._answer(
+            kind, self._connections.exchange(data, self._timeout + extra_seconds)
+        )
 
     async def _read(self, kind: str, path: str) -> _Answer:
         """Make a call that changes nothing, and so may be sent again while no answer comes."""
 
-        if not self._repeats:
+        if not self._resends_reads:
             return await self._call(kind, "GET", path)
 
         def on_sent() -> None:
@@ -369,8 +371,8 @@
     return head + b"\r\n" + body
 
 
-def _query(wanted: dict[str, Any]) -> str:
-    return urllib.parse.urlencode(wanted, safe="/")
+def _query_string(parameters: dict[str, Any]) -> str:
+    return urllib.parse.urlencode(parameters, safe="/")
 
 
 def _expect_ok(kind: str, answer: _Answer) -> None:
@@ -378,7 +380,7 @@
         raise StoreError(f"{kind}: status {answer.status}")
 
 
-def _decoded(decode: Any) -> Any:
+def _decode_document(decode: Any) -> Any:
     try:
         return decode()
     except _fields.DocumentError as error:
@@ -401,8 +403,8 @@
     rows = []
     for row in found.tables("events"):
         # "Compacted" marks a removed key; it says nothing about the history.
-        is_gone = "Compacted" in row
-        value = None if is_gone else _value(row)
+        is_removed = "Compacted" in row
+        value = None if is_removed else _value(row)
         position = positions.Position(era, row.integer("Revision"))
         rows.append(store_items.Change(row.text(_KEY), position, value))
     return store_items.Changes(rows, positions.Position(era, found.integer("AtRev")))
@@ -410,6 +412,6 @@
 
 def _value(row: _fields.Fields) -> bytes:
     try:
-        return base64.b64decode(row.any_text("Value"), validate=True)
+        return base64.b64decode(row.text_or_empty("Value"), validate=True)
     except ValueError as error:
         raise _fields.DocumentError(f"Value: {error}") from error
--- a/src/lineworks/platform/store_era.py
+++ b/src/lineworks/platform/store_era.py
@@ -19,7 +19,7 @@
         self._era: int | None = None
         self.listeners: list[Callable[[], None]] = []
         """Called when the store is known to have come back from an older copy."""
-        self.on_first: list[Callable[[], None]] = []
+        self.first_listeners: list[Callable[[], None]] = []
         """Called when an era is known for the first time; the store may have just come back."""
 
     @property
@@ -38,7 +38,7 @@
             return
         self._era = era
         if before is None:
-            for listener in self.on_first:
+            for listener in self.first_listeners:
                 listener()
             return
         _log.warning("store_from_older_copy", era=era, before=before)
--- a/src/lineworks/platform/target_entries.py
+++ b/src/lineworks/platform/target_entries.py
@@ -13,10 +13,10 @@
 _READY = "ready"
 _LEAVING = "draining"
 _STATES = (_READY, _LEAVING)
-_BORN = "born"
+_STARTED_AT = "born"
 
 
-MOST_KEY = 120
+MAX_KEY_CHARACTERS = 120
 """Characters of a key that an error names."""
 
 
@@ -42,7 +42,7 @@
     try:
         return _decode(identity, _fields.Fields(_fields.parse_json(data)))
     except _fields.DocumentError as error:
-        raise EntryError(f"{ascii(key)[1:-1][:MOST_KEY]}: {error}") from error
+        raise EntryError(f"{ascii(key)[1:-1][:MAX_KEY_CHARACTERS]}: {error}") from error
 
 
 def _decode(identity: str, found: _fields.Fields) -> target_view.TargetEntry:
@@ -64,12 +64,12 @@
         host=host,
         port=port,
         # Requests worked on at a time; a short queue comes on top.
-        slots=found.integer("Capacity", least=1),
+        slots=found.integer("Capacity", minimum=1),
         is_leaving=state == _LEAVING,
         # Time still left of the slow phase after a start.
         is_cold=found.number("WarmupLeftMs") > 0,
         # Older targets don't tell when they started; 0 then.
-        born=found.integer(_BORN) if _BORN in found.names else 0,
+        born=found.integer(_STARTED_AT) if _STARTED_AT in found.names else 0,
     )
 
 
--- a/src/lineworks/programs/node.py
+++ b/src/lineworks/programs/node.py
@@ -66,7 +66,7 @@
 def _open_callers(settings: node_settings.NodeSettings) -> early_acceptor.EarlyAcceptor:
     """Let callers connect while the rest is imported."""
     opened = listening.open_port(settings.callers.host, settings.callers.port)
-    callers = early_acceptor.EarlyAcceptor(opened, headers.budget_of_head)
+    callers = early_acceptor.EarlyAcceptor(opened, headers.find_budget)
     callers.start()
     return callers
 
--- a/src/lineworks/services/claim_writer.py
+++ b/src/lineworks/services/claim_writer.py
@@ -86,7 +86,7 @@
         self._settled_at = 0.0
         platform.era.listeners.append(self._on_store_return)
         # An instance that starts can't know whether the store has just come back.
-        platform.era.on_first.append(self._settle)
+        platform.era.first_listeners.append(self._settle)
 
     def start(self) -> None:
         """Do nothing."""
--- a/src/lineworks/standins/deployment.py
+++ b/src/lineworks/standins/deployment.py
@@ -19,8 +19,8 @@
 from lineworks.platform.standins import (
     documents,
     http_target,
-    store_drill,
     store_model,
+    store_rollback,
     store_server,
 )
 from lineworks.standins import memory_network
@@ -83,7 +83,7 @@
         self.network = memory_network.MemoryNetwork(clock, self._delay)
         self.store = store_model.StoreModel(clock)
         self.server = store_server.StoreServer(clock, self.store)
-        self.drill = store_drill.StoreDrill(clock, self.store)
+        self.drill = store_rollback.StoreRollback(clock, self.store)
         """Lets the store come back from an older copy."""
         self.network.host(STORE_ADDRESS).listenTCP(STORE_PORT, self.server.factory)
         self.runs: list[http_target.Run] = []
@@ -152,7 +152,7 @@
     def announce(self, target: http_target.HttpTarget, state: str = "ready") -> None:
         """Write a target's entry."""
         key = documents.target_key(target.name)
-        self.store.write(key, documents.encoded(target.entry(state)))
+        self.store.write(key, documents.encode_value(target.entry(state)))
 
     def withdraw(self, target: http_target.HttpTarget) -> None:
         """Remove a target's entry."""
@@ -219,7 +219,7 @@
 
     def evacuate(self, hall: str) -> None:
         """Ask, as the operators do, to send nothing more to the targets of a data hall."""
-        self.store.write(documents.evacuation_key(hall), documents.encoded("{}"))
+        self.store.write(documents.evacuation_key(hall), documents.encode_value("{}"))
 
     def end_evacuation(self, hall: str) -> None:
         """Take such a request back."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -133,7 +133,7 @@
 
 def restore_store(world, copy):
     """Restore the store from an older copy."""
-    world.platform.model.come_back(copy)
+    world.platform.model.restore(copy)
 
 
 def test_a_claim_that_the_store_lost_is_still_in_effect():
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -74,7 +74,7 @@
 def announce_cold(world, target, is_cold):
     entry = json.loads(target.entry())
     entry["WarmupLeftMs"] = 3000 if is_cold else 0
-    world.store.write(documents.target_key(target.name), documents.encoded(json.dumps(entry)))
+    world.store.write(documents.target_key(target.name), documents.encode_value(json.dumps(entry)))
 
 
 def note_arrivals(world, service):
--- a/tests/test_early_callers.py
+++ b/tests/test_early_callers.py
@@ -27,9 +27,7 @@
 
 @pytest.fixture
 def acceptor():
-    created = early_acceptor.EarlyAcceptor(
-        listening.open_port("127.0.0.1", 0), headers.budget_of_head
-    )
+    created = early_acceptor.EarlyAcceptor(listening.open_port("127.0.0.1", 0), headers.find_budget)
     created.address = created._listening_socket.getsockname()
     created.start()
     return created
@@ -101,4 +99,4 @@
     ],
 )
 def test_budget_is_read_from_the_head_only(head, seconds):
-    assert headers.budget_of_head(head) == seconds
+    assert headers.find_budget(head) == seconds
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -130,7 +130,7 @@
         world.end_evacuation("akl")
     else:
         world.evacuate("akl")
-    world.store.forget_history()
+    world.store.compact()
     world.run(BOUND)
     _, halls = ask_all(world)
     assert ("akl" in halls) is is_end_lost
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -125,7 +125,7 @@
 
 
 def put(world, key, text):
-    world.store.write(key, documents.encoded(text))
+    world.store.write(key, documents.encode_value(text))
 
 
 def statuses(world, path="/read/q"):
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -159,7 +159,7 @@
     world = build()
     wrong = "X-Response-Stamp: s03.other.i-0\r\nContent-Length: 16\r\n\r\n" + "z" * 16
     for target in targets_of(world, SHARDS[3]):
-        target.faults.surplus = f"HTTP/1.1 200 OK\r\n{wrong}".encode()
+        target.faults.trailing_bytes = f"HTTP/1.1 200 OK\r\n{wrong}".encode()
     for number in range(20):
         reply = world.ask("akl-1", "/search/q", attempt=f"q{number}")
         world.run(0.5)
--- a/tests/test_forwarding_changes.py
+++ b/tests/test_forwarding_changes.py
@@ -120,7 +120,7 @@
     world = test_forwarding.build()
     target = shelf(world, "akl")
     world.withdraw(target)
-    world.store.forget_history()
+    world.store.compact()
     since = world.clock.seconds() + 3.0
     keep_asking(world, 5.0)
     assert arrivals(world, target, since) == []
--- a/tests/test_older_copy.py
+++ b/tests/test_older_copy.py
@@ -76,7 +76,7 @@
 def test_a_version_numbered_below_the_old_place_is_in_force_in_time(world):
     copy = world.store.copy()
     go_on(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     # Refused once, and all was read: the store's count is still below the old one.
     look(world)
     assert_put_in_force(world)
@@ -85,7 +85,7 @@
 def test_a_version_is_in_force_in_time_though_the_count_has_passed_the_old_place(world):
     copy = world.store.copy()
     go_on(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     assert_put_in_force(world)
 
 
@@ -95,7 +95,7 @@
     write_others(world, MANY)
     world.announce(target)
     look(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     look(world)
     world.announce(target, "draining")
     world.run(IN_FORCE)
@@ -108,7 +108,7 @@
     write_others(world, MANY)
     world.announce(target)
     look(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     look(world, 4.0)
     world.withdraw(target)
     world.run(IN_FORCE)
@@ -121,7 +121,7 @@
     world.withdraw(target)
     look(world, IN_FORCE)
     assert set(entries(world, target).values()) == {None}
-    world.drill.come_back(copy, rewritten_after=2.0)
+    world.drill.restore(copy, rewrite_delay=2.0)
     for _ in range(50):
         world.run(0.1)
         assert set(entries(world, target).values()) == {None}
@@ -132,7 +132,7 @@
     target = world.add_target("shelf", "akl")
     look(world)
     assert set(entries(world, target).values()) == {False}
-    world.drill.come_back(copy, rewritten_after=1.5)
+    world.drill.restore(copy, rewrite_delay=1.5)
     for _ in range(40):
         world.run(0.1)
         assert set(entries(world, target).values()) == {False}
@@ -145,7 +145,7 @@
     look(world)
     world.end_evacuation("akl")
     look(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     look(world)
     world.evacuate("akl")
     world.run(IN_FORCE)
@@ -156,7 +156,7 @@
     copy = world.store.copy()
     world.evacuate("akl")
     look(world)
-    world.drill.come_back(copy, rewritten_after=1.5)
+    world.drill.restore(copy, rewrite_delay=1.5)
     for _ in range(40):
         world.run(0.1)
         assert {node.known.evacuated for node in world.nodes.values()} == {frozenset({"akl"})}
@@ -166,7 +166,7 @@
     copy = world.store.copy()
     world.evacuate("akl")
     look(world)
-    world.store.come_back(copy)
+    world.store.restore(copy)
     look(world, 6.0)
     assert {node.known.evacuated for node in world.nodes.values()} == {frozenset()}
 
@@ -175,7 +175,7 @@
     copy = world.store.copy()
     world.add_node("akl-3", "akl")
     look(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     look(world, 4.0)
     assert own_keys(world) == set(world.nodes)
 
@@ -184,7 +184,7 @@
     copy = world.store.copy()
     world.configure(ROUTES)
     look(world)
-    world.drill.come_back(copy, rewritten_after=5.0)
+    world.drill.restore(copy, rewrite_delay=5.0)
     world.run(0.1)
     world.add_node("akl-3", "akl")
     world.run(1.0)
@@ -198,7 +198,7 @@
     world.announce(target)
     look(world)
     world.host_of("akl-1").freeze()
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     look(world)
     world.configure(ROUTES)
     world.announce(target, "draining")
@@ -212,11 +212,11 @@
 def test_a_second_return_soon_after_the_first_is_told_apart(world):
     first = world.store.copy()
     go_on(world)
-    world.drill.come_back(first)
+    world.drill.restore(first)
     world.run(0.7)
     second = world.store.copy()
     go_on(world)
-    world.drill.come_back(second)
+    world.drill.restore(second)
     look(world)
     assert_put_in_force(world)
 
@@ -225,7 +225,7 @@
     copy = world.store.copy()
     world.configure(test_forwarding_changes.ROUTES, version=9)
     look(world)
-    world.store.come_back(copy)
+    world.store.restore(copy)
     world.run(0.1)
     world.configure(ROUTES, version=9)
     world.run(IN_FORCE)
@@ -233,8 +233,8 @@
 
 
 def test_the_keys_that_others_write_are_named_once():
-    assert documents.target_key("i-1").startswith(documents.FOREIGN_PREFIXES)
-    assert documents.CONFIGURATION_KEY.startswith(documents.FOREIGN_PREFIXES)
+    assert documents.target_key("i-1").startswith(documents.EXTERNAL_PREFIXES)
+    assert documents.CONFIGURATION_KEY.startswith(documents.EXTERNAL_PREFIXES)
 
 
 def test_suspects_that_the_store_lost_are_written_again(world):
@@ -244,7 +244,7 @@
     look(world)
     prefix = suspect_documents.PREFIX
     assert len(world.store.page(prefix, "")[0]) == 1
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     look(world)
     assert [item.key for item in world.store.page(prefix, "")[0]] == [prefix + "c" * 24]
 
@@ -255,7 +255,7 @@
     world.network.cut(deployment.STORE_ADDRESS, address)
     copy = world.store.copy()
     go_on(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     look(world)
     assert world.nodes["akl-1"]._store.era.value == world.store.era
 
@@ -265,6 +265,6 @@
     look(world)
     calls = world.server.calls
     before = calls["kv-lease"]
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     look(world)
     assert calls["kv-lease"] - before == len(world.nodes)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -86,7 +86,7 @@
 def test_lost_history_is_told(world):
     first = world.write("a/1")
     world.write("a/1")
-    world.model.forget_history()
+    world.model.compact()
     with pytest.raises(store.HistoryGoneError):
         world.do(world.client.watch("a/", first, 0.0))
 
@@ -265,9 +265,9 @@
     assert world.server.calls["kv-key"] == 1
 
 
-def come_back(world, copy):
+def restore(world, copy):
     """Let the store go on from a copy of itself."""
-    world.model.come_back(copy)
+    world.model.restore(copy)
 
 
 def test_the_stand_in_loses_what_was_written_after_its_copy():
@@ -276,7 +276,7 @@
     copy = world.model.copy()
     lost = world.write("a/2", b"2")
     lease = world.do(world.client.grant_lease(20.0))
-    come_back(world, copy)
+    restore(world, copy)
     assert world.do(world.client.get("a/1")).value == b"1"
     assert world.do(world.client.get("a/2")) is None
     assert world.model.grant(20.0) == lease.number
@@ -288,7 +288,7 @@
     world.write("a/1")
     copy = world.model.copy()
     lost = world.write("a/2")
-    come_back(world, copy)
+    restore(world, copy)
     with pytest.raises(store.HistoryGoneError):
         world.do(world.client.watch("a/", lost, 0.0))
 
@@ -299,7 +299,7 @@
     first = world.write("a/1")
     waiting = world.start(world.client.watch("a/", first, 10.0))
     world.clock.run_until(world.clock.seconds() + 1.0)
-    come_back(world, copy)
+    restore(world, copy)
     world.clock.run_until(world.clock.seconds() + 1.0)
     assert waiting[0].check(store.HistoryGoneError)
 
@@ -310,7 +310,7 @@
     world.client.era.listeners.append(lambda: told.append(world.client.era.value))
     world.write("a/1")
     assert (world.client.era.value, told) == (1, [])
-    come_back(world, world.model.copy())
+    restore(world, world.model.copy())
     world.do(world.client.get("a/1"))
     world.do(world.client.get("a/1"))
     assert told == [2]
@@ -320,7 +320,7 @@
     world = World()
     copy = world.model.copy()
     known = world.write("a/1")
-    come_back(world, copy)
+    restore(world, copy)
     world.model.write("a/2", "dg==")
     world.model.write("a/3", "dg==")
     with pytest.raises(store.HistoryGoneError):
@@ -358,7 +358,7 @@
     listing = world.start(world.client.list_items(""))
     world.clock.run_until(world.clock.seconds() + 0.007)
     assert world.server.calls["kv-range"] == 1
-    come_back(world, copy)
+    restore(world, copy)
     world.clock.run_until(world.clock.seconds() + 1.0)
     assert {item.key[:2] for item in listing[0].items} == {"a/"}
     assert len(listing[0].items) == store_model.PAGE_ITEMS + 7
@@ -369,7 +369,7 @@
     world = World()
     copy = world.model.copy()
     known = world.write("a/1", b"1")
-    come_back(world, copy)
+    restore(world, copy)
     assert world.model.write("a/1", "dg==") == known.revision
     world.do(world.client.get("a/1"))
     with pytest.raises(store.ConflictError):
@@ -381,7 +381,7 @@
     world = World()
     copy = world.model.copy()
     known = world.write("a/1", b"1")
-    come_back(world, copy)
+    restore(world, copy)
     world.model.write("a/1", "dg==")
     with pytest.raises(store.StoreUnsureError):
         world.write("a/1", b"2", expected=[("a/1", known)])
@@ -391,7 +391,7 @@
     world = World()
     copy = world.model.copy()
     lease = world.do(world.client.grant_lease(20.0))
-    come_back(world, copy)
+    restore(world, copy)
     assert world.model.grant(20.0) == lease.number
     world.model.transact((), (("others/key", "dg==", lease.number),), ())
     world.do(world.client.get("others/key"))
@@ -407,7 +407,7 @@
     world = World()
     copy = world.model.copy()
     lease = world.do(world.client.grant_lease(20.0))
-    come_back(world, copy)
+    restore(world, copy)
     world.model.grant(20.0)
     with pytest.raises(store.LeaseGoneError):
         world.do(world.client.renew_lease(lease))
@@ -419,7 +419,7 @@
     copy = world.model.copy()
     me = member.Member("a", "h", "10.0.0.2", 1, "inc", False)
     world.do(client.announce(me, 50.0))
-    come_back(world, copy)
+    restore(world, copy)
     world.model.grant(50.0)
     world.do(client.announce(me, 50.0))
     assert world.do(client.members()) == [me]
@@ -427,6 +427,6 @@
 
 def test_an_era_that_is_no_number_is_an_error():
     world = World()
-    world.server.tells_era = lambda: b"soon"
+    world.server.era_header = lambda: b"soon"
     with pytest.raises(store.StoreError, match="no number"):
         world.do(world.client.get("a/1"))
