--- a/src/lineworks/platform/__init__.py
+++ b/src/lineworks/platform/__init__.py
@@ -1,5 +1,6 @@
-"""The adapter to the users' platform: its names, formats and calls.
+"""Adapter to the users' platform: its names, formats and calls.
 
-Nothing here decides anything, and nothing outside knows the platform's names. Decoders turn its
-documents into the product's types and name the field that is wrong; encoders do the reverse.
+The package holds no decision logic, and the platform's names are used nowhere else. Decoders
+convert its documents to the product's types and name an invalid field in the error; encoders do
+the reverse.
 """
--- a/src/lineworks/platform/_fields.py
+++ b/src/lineworks/platform/_fields.py
@@ -1,4 +1,4 @@
-"""Typed access to decoded documents; every error names the field."""
+"""Typed access to the fields of decoded documents. Every error names the field."""
 
 from __future__ import annotations
 
@@ -6,29 +6,30 @@
 from typing import Any
 
 MAX_NUMBER = 2**63 - 1
-"""Greatest number that a document may hold, as other languages can read it."""
+"""Greatest number accepted in a document: the largest signed 64-bit integer, so that programs in
+other languages can read it."""
 
 MAX_VALUE_CHARACTERS = 80
-"""Characters of a wrong value that an error names."""
+"""Maximum length of an invalid value quoted in an error, in characters."""
 
 
 class DocumentError(ValueError):
-    """A document lacks a field or a field has a value of another kind."""
+    """A document lacks a field, or a field has a value of the wrong type or range."""
 
 
 class Fields:
-    """One table of a document, with the path that leads to it."""
+    """A mapping within a document, together with its path."""
 
     def __init__(self, table: Any, path: str = "", is_secret: bool = False) -> None:
-        """Wrap a table.
+        """Wrap a decoded mapping.
 
         Args:
             table: The decoded value.
-            path: Where it stands in the document, for errors.
-            is_secret: Whether errors show no value of the table and of what it holds.
+            path: Path of the mapping in the document, for error messages.
+            is_secret: Whether errors omit the values of this mapping and of those nested in it.
 
         Raises:
-            DocumentError: It is no table.
+            DocumentError: The value is not a mapping.
         """
         if not isinstance(table, dict):
             raise DocumentError(f"{path or '(document)'}: expected a table")
@@ -41,29 +42,29 @@
 
     @property
     def names(self) -> list[str]:
-        """Names of all fields."""
+        """Names of all fields, including those whose value is null."""
         return list(self._table)
 
     def redacted(self) -> Fields:
-        """Give the same table, of which errors show no value."""
+        """Return the same mapping with values omitted from errors."""
         return Fields(self._table, self._path, is_secret=True)
 
     def flag(self, name: str, default: bool) -> bool:
-        """Read true or false."""
+        """Read a boolean."""
         value = self._get(name, default)
         if not isinstance(value, bool):
             raise self._invalid_value(name, "true or false")
         return value
 
     def text(self, name: str, default: str | None = None) -> str:
-        """Read a text that is not empty."""
+        """Read a string that is not empty and can be encoded as UTF-8."""
         value = self._get(name, default)
         if not isinstance(value, str) or not value or not is_utf8_encodable(value):
             raise self._invalid_value(name, "a text")
         return value
 
     def text_or_empty(self, name: str) -> str:
-        """Read a text; a missing one is empty."""
+        """Read a string; returns an empty one if the field is missing."""
         value = self._table.get(name, "")
         if not isinstance(value, str):
             raise self._invalid_value(name, "a text")
@@ -74,13 +75,13 @@
         value = self._get(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise self._invalid_value(name, f"a number of at least {minimum:g}")
-        # Not a number and infinity compare as false.
+        # Also rejects NaN, for which every comparison is false, and infinity.
         if not minimum <= value <= MAX_NUMBER:
             raise self._invalid_value(name, f"a number of at least {minimum:g}")
         return float(value)
 
     def integer(self, name: str, default: int | None = None, minimum: int = 0) -> int:
-        """Read a whole number of at least `minimum`."""
+        """Read an integer of at least `minimum`."""
         value = self._get(name, default)
         if isinstance(value, bool) or not isinstance(value, int):
             raise self._invalid_value(name, f"a whole number of at least {minimum}")
@@ -89,11 +90,11 @@
         return value
 
     def table(self, name: str) -> Fields:
-        """Read a table."""
+        """Read a nested mapping."""
         return Fields(self._get(name, None), self._field_path(name), self._is_secret)
 
     def tables(self, name: str) -> list[Fields]:
-        """Read a list of tables; a missing one is empty."""
+        """Read a list of mappings; returns an empty list if the field is missing."""
         listed = self.items(name)
         return [
             Fields(item, self.item_path(name, index), self._is_secret)
@@ -101,7 +102,7 @@
         ]
 
     def items(self, name: str) -> list[Any]:
-        """Read a list; a missing one is empty."""
+        """Read a list; returns an empty list if the field is missing."""
         value = self._table.get(name)
         if value is None:
             return []
@@ -110,18 +111,18 @@
         return value
 
     def texts(self, name: str) -> tuple[str, ...]:
-        """Read a list of texts; a missing one is empty."""
+        """Read a list of non-empty strings; returns an empty tuple if the field is missing."""
         listed = self.items(name)
         if not all(isinstance(item, str) and item for item in listed):
             raise self._invalid_value(name, "a list of texts")
         return tuple(listed)
 
     def address(self, name: str) -> tuple[str, int]:
-        """Read an address of the form IP:PORT."""
+        """Read an address of the form IP:PORT as host and port."""
         return parse_address(self.text(name), self._field_path(name))
 
     def item_path(self, name: str, index: int) -> str:
-        """Tell where an item of a list stands, for errors."""
+        """Return the path of a list item, for error messages."""
         return f"{self._field_path(name)}.{index}"
 
     def _get(self, name: str, default: Any) -> Any:
@@ -142,17 +143,17 @@
 
 
 def parse_address(text: str, path: str) -> tuple[str, int]:
-    """Read an address.
+    """Parse an address.
 
     Args:
-        text: The form IP:PORT.
-        path: Where it stands, for errors.
+        text: An address of the form IP:PORT.
+        path: Path of the field, for error messages.
 
     Returns:
         Host and port.
 
     Raises:
-        DocumentError: It has another form.
+        DocumentError: The text does not have this form, or the port is not from 1 to 65535.
     """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
@@ -161,28 +162,28 @@
 
 
 def is_utf8_encodable(text: str) -> bool:
-    """Say whether a text can be written as UTF-8.
+    """Return whether a string can be encoded as UTF-8.
 
     Args:
-        text: The text.
+        text: The string.
 
     Returns:
-        False for one with half of a pair of surrogates, which JSON lets through.
+        False if it contains a surrogate code point. JSON escapes can produce unpaired ones.
     """
     return not any("\ud800" <= character <= "\udfff" for character in text)
 
 
 def parse_json(data: bytes) -> Any:
-    """Read a document that anybody may have written.
+    """Parse a JSON document from an untrusted writer.
 
     Args:
-        data: The bytes.
+        data: The encoded document.
 
     Returns:
         The decoded value.
 
     Raises:
-        DocumentError: It is no JSON, or nested too deeply to be read.
+        DocumentError: The data is not JSON, or is nested too deeply for the parser.
     """
     try:
         return json.loads(data)
@@ -191,7 +192,7 @@
 
 
 def _format_value(value: Any) -> str:
-    """Show a value of any type in an error, shortly and without what no log can write."""
+    """Format a value for an error: truncated, and in ASCII so that every log can write it."""
     if isinstance(value, int) and abs(value) > MAX_NUMBER:
         return "a longer number"
     return ascii(value)[:MAX_VALUE_CHARACTERS]
--- a/src/lineworks/platform/_store_connections.py
+++ b/src/lineworks/platform/_store_connections.py
@@ -1,7 +1,7 @@
-"""Connections to the platform's store: kept for the next call, one request at a time on each.
+"""Persistent connections to the platform's store, each with one request at a time.
 
-A read that gets no answer is sent again on a new connection, beside the one that waits: a lost
-answer never comes, and a connection that went silent shows nothing else.
+A read without an answer is sent again on a new connection while the first one still waits: a lost
+answer never arrives, and a connection that has gone silent gives no other sign.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
     from lineworks.models import node_settings
 
 CONNECT_SECONDS = 1.0
-"""Seconds to wait for a connection."""
+"""Timeout for opening a connection, in seconds."""
 
 RESEND_SECONDS = 0.2
-"""Seconds without an answer after which a read is sent again: fifty times what the store usually
-takes, and a fifteenth of the time in which a change must be in force. An instance that starts
-beside a silent store asks again within that time of the store's return."""
+"""Seconds without an answer after which a read is sent again. This is 50 times the usual response
+time of the store, and a fifteenth of the time within which a change must take effect. It also
+bounds how long after a silent store's return a starting instance asks again."""
 
 
 class ConnectError(Exception):
-    """No connection could be opened, so nothing was sent."""
+    """No connection could be opened, so the request was not sent."""
 
 
 class StoreConnections:
-    """The connections of one client."""
+    """Pool of connections of one store client."""
 
     def __init__(self, reactor: Any, address: node_settings.Address) -> None:
-        """Start without connections.
+        """Create an empty pool.
 
         Args:
             reactor: Twisted's reactor.
-            address: Where the store is.
+            address: Address of the store.
         """
         self._reactor = reactor
         self._address = address
@@ -54,18 +54,18 @@
     async def read(
         self, data: bytes, timeout: float, on_sent: Callable[[], None]
     ) -> client_connection.Response | client_connection.ConnectionFailure:
-        """Send a request that changes nothing, again and again until an answer comes.
+        """Send a read-only request, and resend it at intervals until an answer arrives.
 
         Args:
-            data: The request.
-            timeout: Seconds to wait for the answer.
-            on_sent: Called each time that the request is sent.
+            data: The encoded request.
+            timeout: Seconds to wait for an answer.
+            on_sent: Called each time the request is sent.
 
         Returns:
-            The first answer, or how the last connection broke off.
+            The first answer, or the failure of the last connection.
 
         Raises:
-            ConnectError: There is no connection.
+            ConnectError: No connection could be opened.
         """
         end: client_connection.Response | client_connection.ConnectionFailure = await _ResentRead(
             self._reactor, functools.partial(self.exchange, data), timeout, on_sent
@@ -78,15 +78,16 @@
         """Send a request and wait for its answer.
 
         Args:
-            data: The request.
+            data: The encoded request.
             timeout: Seconds to wait for the answer.
-            is_new: Whether the kept connections are not to be trusted.
+            discard_idle: Whether to close the idle connections, which may be dead, and open a new
+                one.
 
         Returns:
-            The answer, or how the connection broke off before it was whole.
+            The answer, or the failure that ended the connection before the answer was complete.
 
         Raises:
-            ConnectError: There is no connection.
+            ConnectError: No connection could be opened.
         """
         if discard_idle:
             self.close()
@@ -126,7 +127,7 @@
 
 
 class _ResentRead:
-    """One read under way on several connections."""
+    """A read that may be in progress on several connections at once."""
 
     def __init__(
         self,
@@ -146,10 +147,10 @@
         self._ended: defer.Deferred[Any] = defer.Deferred(lambda _: self._stop())
 
     def start(self) -> defer.Deferred[Any]:
-        """Send it for the first time.
+        """Send the request for the first time.
 
         Returns:
-            A deferred of the answer; cancelling it ends the read.
+            A deferred that fires with the answer or the failure; cancelling it ends the read.
         """
         left = self._deadline - self._reactor.seconds()
         self._limit = self._reactor.callLater(left, self._on_deadline)
@@ -175,7 +176,7 @@
         self._ended.callback(end)
 
     def _on_deadline(self) -> None:
-        """End the read; a connection that is still being opened would hold it up."""
+        """End the read, even if a connection is still being opened."""
         self._stop()
         self._ended.callback(client_connection.ConnectionFailure("no answer in time", False))
 
@@ -190,20 +191,20 @@
 
 
 class _StoreConnection(client_connection.ClientConnection):
-    """A connection to the store that reports when it is open."""
+    """Connection to the store that fires a deferred once it is open."""
 
     def __init__(self, reactor: Any, opened: defer.Deferred[Any]) -> None:
         super().__init__(reactor.seconds, lambda connection: None)
         self._opened = opened
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Report that it is open."""
+        """Fire the deferred with this connection."""
         super().connectionMade()
         self._opened.callback(self)
 
 
 class _StoreFactory(protocol.ClientFactory):
-    """Opens one connection."""
+    """Factory for one connection."""
 
     noisy = False
 
@@ -212,11 +213,11 @@
         self._opened = opened
 
     def buildProtocol(self, addr: Any) -> _StoreConnection:  # noqa: N802
-        """Make the connection's end."""
+        """Create the protocol of the connection."""
         return _StoreConnection(self._reactor, self._opened)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
-        """Report that it could not be opened."""
+        """Fire the deferred with the name of the error."""
         self._opened.callback(type(reason.value).__name__)
 
 
--- a/src/lineworks/platform/configuration.py
+++ b/src/lineworks/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as it lies in the platform's store (JSON)."""
+"""Decoder for the operators' configuration, which the platform's store holds as JSON."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from lineworks.platform import _fields
 
 KEY = "op/config"
-"""Key of the newest configuration."""
+"""Store key of the newest configuration."""
 
 _IDEMPOTENT = "idempotent"
 _ROUTE_TYPES = (_IDEMPOTENT, "non_idempotent")
 
 
 class ConfigurationError(Exception):
-    """A configuration cannot be used; the message names the field."""
+    """A configuration is invalid; the message names the field."""
 
 
 def decode(data: bytes) -> routes.RouteTable:
-    """Read a configuration.
+    """Decode a configuration.
 
     Args:
         data: The stored value.
@@ -26,7 +26,7 @@
         The configuration.
 
     Raises:
-        ConfigurationError: It is no JSON, or a field is missing or wrong.
+        ConfigurationError: The value is not JSON, or a field is missing or invalid.
     """
     try:
         return _decode(_fields.Fields(_fields.parse_json(data)))
@@ -56,7 +56,7 @@
 
 
 def _workspaces(found: _fields.Fields) -> list[tuple[workspaces.Workspace, list[str]]]:
-    """Read the workspaces, each with its keys."""
+    """Read the workspaces, each with its API keys."""
     names: set[str] = set()
     keys: set[str] = set()
     listed = []
@@ -84,11 +84,11 @@
 
 
 def _keys(item: _fields.Fields, seen: set[str]) -> list[str]:
-    """Read a workspace's keys. Errors tell where a wrong one stands and never what it is.
+    """Read a workspace's API keys. Errors give the path of an invalid key, never its value.
 
     Args:
-        item: The workspace.
-        taken: Keys of all workspaces so far, to which these are added.
+        item: Fields of the workspace.
+        seen: Keys of all workspaces read so far; the keys of this one are added.
     """
     listed = item.items("ApiKeys")
     for index, key in enumerate(listed):
@@ -106,7 +106,7 @@
 
 
 def _is_header_value(text: str) -> bool:
-    """Say whether a text comes out of a header's value as it went in."""
+    """Return whether a string is unchanged when sent as a header value."""
     return text.isprintable() and text == text.strip()
 
 
@@ -140,7 +140,7 @@
         split=() if shards else _split(item),
         shards=shards,
         top=item.integer("TopK", 0),
-        # Despite its name the field holds a share: that of the shards that an answer needs.
+        # Despite its name, the field holds the share of shards that an answer needs.
         min_coverage=item.number("OldestVersion", 1.0),
         homes=frozenset(item.texts("AllowedRegions")),
         is_public=item.flag("Public", False),
--- a/src/lineworks/platform/headers.py
+++ b/src/lineworks/platform/headers.py
@@ -1,6 +1,6 @@
-"""Headers of requests and answers on the users' platform.
+"""Request and response headers of the users' platform.
 
-All names are kept in lower case, as the parsers hand them over.
+Header names to look up are in lower case, as the parsers return them.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
     from collections.abc import Iterable, Mapping, Sequence
 
 ATTEMPT = b"x-attempt-id"
-"""Identity of one try of a caller; a target repeats it in its answer."""
+"""Identity of one attempt of a caller; a target echoes it in its answer."""
 
 BUDGET = b"x-time-budget"
-"""Milliseconds that the sender still waits."""
+"""Remaining time for which the sender waits, in milliseconds."""
 
 EXPECT = b"x-expect-instance"
-"""Identity of the only process that may run the request."""
+"""Identity of the only target process that may run the request."""
 
 _EXPECT = "X-Expect-Instance"
 _STAMP = b"x-response-stamp"
@@ -33,47 +33,48 @@
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 _MAX_BUDGET_MS = 600_000
 _LOAD_CACHE_ENTRIES = 1024
-"""Reports of load that are kept with what they say."""
+"""Number of distinct load reports whose parsed form is cached."""
 
 _MAX_CACHED_BYTES = 32
-"""Bytes of such a report at most: anybody may write longer ones."""
+"""Maximum length of a cached load report, in bytes. The header comes from untrusted writers, who
+may send longer ones."""
 
 CALLER = b"authorization"
-"""Says who asks; it holds the API key where requests need one."""
+"""Credentials of the caller; holds the API key if requests need one."""
 
 WORKSPACE = b"x-tenant-name"
-"""Tells a target whose request it is."""
+"""Name of the workspace to which a request belongs, sent to targets."""
 
 CHALLENGE = (b"WWW-Authenticate", b"Bearer")
-"""Tells a caller without a known key how to carry one."""
+"""Header that tells a caller without a known API key how to send one."""
 
 READINESS_PATH = b"/lineworks/readiness"
-"""Path that the balancer asks."""
+"""Path that the load balancer polls."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a target says of its load."""
+    """Load that a target reports."""
 
     running: int
-    """Requests that it works on."""
+    """Requests that the target is processing."""
 
     waiting: int
-    """Requests in its queue."""
+    """Requests in the target's queue."""
 
     pace: float | None = None
-    """How long work takes there at this moment, as a multiple of what is usual. None where the
-    target does not tell, or no number that makes sense."""
+    """Current processing time as a multiple of the usual one. None if the target reports none or an
+    invalid number."""
 
 
 def find_budget(head: bytes) -> float | None:
-    """Find a caller's time budget in a request's head that is not parsed yet.
+    """Find a caller's time budget in an unparsed request head.
 
     Args:
-        head: Bytes that hold the head.
+        head: Bytes that contain the head.
 
     Returns:
-        Seconds, or None where there is none.
+        The budget in seconds, or None if there is no valid one.
     """
     for line in head.partition(b"\r\n\r\n")[0].split(b"\r\n")[1:]:
         name, _, value = line.partition(b":")
@@ -83,13 +84,13 @@
 
 
 def read_budget(value: bytes | None) -> float | None:
-    """Read a caller's time budget.
+    """Parse a caller's time budget.
 
     Args:
-        value: The header's value, or None.
+        value: Value of the header, or None.
 
     Returns:
-        Seconds, or None where the header is missing or no number.
+        The budget in seconds, at most 600; None if the header is missing or not a number.
     """
     if value is None or not value.strip().isdigit():
         return None
@@ -97,13 +98,13 @@
 
 
 def read_key(value: bytes | None) -> bytes | None:
-    """Read the API key that a request carries.
+    """Read the API key of a request.
 
     Args:
-        value: Value of its header `Authorization`, or None.
+        value: Value of the `Authorization` header, or None.
 
     Returns:
-        The key, or None where there is none.
+        The bearer token, or None if there is none.
     """
     if value is None:
         return None
@@ -112,50 +113,50 @@
 
 
 def read_caller(fields: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Read who asks, as far as a request says.
+    """Read the caller's credentials from a request.
 
     Args:
         fields: Header fields of the request, names in lower case.
 
     Returns:
-        The caller's credentials, or nothing where the request has none.
+        The credentials, or empty bytes if the request has none.
     """
     return b",".join(value for name, value in fields if name == CALLER)
 
 
 def write_target_fields(target: str, seconds: float) -> bytes:
-    """Write the headers that differ from target to target.
+    """Write the header lines that differ between targets.
 
     Args:
         target: Identity of the target's process; any other process refuses the request.
-        seconds: Time that is left.
+        seconds: Time left, in seconds; at least 1 ms is sent.
 
     Returns:
-        Header lines, each with its line end.
+        Header lines, each ended by CRLF.
     """
     return f"X-Time-Budget: {max(1, int(seconds * 1000))}\r\n{_EXPECT}: {target}\r\n".encode()
 
 
 def is_not_run(status: int, found: Mapping[bytes, bytes]) -> bool:
-    """Say whether a target states that it did not run the request.
+    """Return whether a target states that it did not run the request.
 
     Args:
-        status: Status of its answer.
+        status: HTTP status of its answer.
         found: Headers of its answer.
 
     Returns:
-        Whether it is certain that the request has not run there and will not.
+        True if it is certain that the request has not run there and will not.
     """
     return status == _WRONG_INSTANCE_STATUS or _NOT_RUN in found
 
 
 def is_wrong_instance(status: int) -> bool:
-    """Say whether the address belongs to another process than the one expected."""
+    """Return whether the address belongs to a process other than the expected one."""
     return status == _WRONG_INSTANCE_STATUS
 
 
 def implies_not_run(status: int) -> bool:
-    """Say whether callers take a status as a promise that the request has not run."""
+    """Return whether callers infer from a status that the request has not run."""
     return status in _NOT_RUN_STATUSES
 
 
@@ -166,7 +167,7 @@
         found: Headers of the answer.
 
     Returns:
-        The signature, or an empty text.
+        The signature, or an empty string if there is none.
     """
     return found.get(_STAMP, b"").decode("latin-1")
 
@@ -178,12 +179,12 @@
         found: Headers of the answer.
 
     Returns:
-        The report, or None where there is none that can be read.
+        The report, or None if it is missing or malformed.
     """
     value = found.get(_LOAD)
     if value is None:
         return None
-    # Most targets say one of a few things, again and again.
+    # Most targets send a few distinct values over and over, so parsed ones are cached.
     return _cached_load(value) if len(value) <= _MAX_CACHED_BYTES else _parse_load(value)
 
 
@@ -192,7 +193,7 @@
     running, waiting = _parse_integer(parts, 0), _parse_integer(parts, 1)
     if running is None or waiting is None:
         return None
-    # The third figure, its slots, stands in the target's entry as well.
+    # The third number, the slots, is skipped: the target's entry holds it too.
     pace = _parse_integer(parts, 3)
     is_valid = pace is not None and 0 < pace <= _MAX_PACE
     return LoadReport(running, waiting, pace / _NORMAL_PACE if pace and is_valid else None)
@@ -202,13 +203,14 @@
 
 
 def read_cold_seconds(found: Mapping[bytes, bytes]) -> float | None:
-    """Read how long a target will still be cold.
+    """Read how much longer a target will be cold.
 
     Args:
         found: Headers of its answer.
 
     Returns:
-        Seconds, 0 for a warm one; None where the answer does not tell, or no whole number.
+        Seconds, at most 600, and 0 for a warm target; None if the header is missing or not an
+        integer.
     """
     value = found.get(_COLD)
     left = None if value is None else _parse_integer([value], 0)
@@ -216,7 +218,7 @@
 
 
 def _parse_integer(parts: Sequence[bytes], position: int) -> int | None:
-    """Read one of several whole numbers that anybody may have written."""
+    """Parse one of several integers from an untrusted writer; None if it is missing or invalid."""
     if position >= len(parts):
         return None
     text = parts[position].strip()
@@ -224,14 +226,14 @@
 
 
 def write_coverage(stamps: Iterable[str], missing: int) -> list[tuple[bytes, bytes]]:
-    """Write the headers of a search's answer.
+    """Write the coverage headers of a search's answer.
 
     Args:
-        stamps: Signatures of the parts that are in.
-        missing: Shards that are left out.
+        stamps: Signatures of the parts that the answer contains.
+        missing: Number of shards that the answer lacks.
 
     Returns:
-        Names and values.
+        Header names and values.
     """
     listed = ", ".join(stamps).encode("latin-1")
     return [(b"X-Part-Stamps", listed), (b"X-Parts-Missing", str(missing).encode())]
--- a/src/lineworks/platform/settings.py
+++ b/src/lineworks/platform/settings.py
@@ -1,7 +1,7 @@
-"""The settings file that the platform writes for each process: JSON by our template, or its YAML.
+"""Decoder for the settings file that the platform writes for each process.
 
-The parser of YAML is imported only for a file that is no JSON: it takes a twentieth of the time
-that a process needs to start.
+The file is JSON if written with our template, otherwise YAML. The YAML parser is imported only for
+a file that is not JSON, because the import takes a twentieth of a process's start time.
 """
 
 from __future__ import annotations
@@ -16,33 +16,34 @@
 from lineworks.platform import _fields
 
 VARIABLE = "LINEWORKS_SETTINGS"
-"""Environment variable that holds the path of the settings file."""
+"""Environment variable with the path of the settings file."""
 
 PEER_PORT = 0
-"""Offset in the machine's range of free ports at which instances talk to each other."""
+"""Offset, in the machine's range of free ports, of the port for connections between instances."""
 
 METRICS_PORT = 1
-"""Offset in that range at which metrics are served."""
+"""Offset, in the same range, of the port that serves metrics."""
 
 _MEGABIT = 1_000_000
-"""Bits."""
+"""Bits in a megabit."""
 
 
 class SettingsError(Exception):
-    """The settings cannot be used; the message is one line that names the field."""
+    """The settings are invalid; the message is one line that names the field."""
 
 
 def load(environment: Mapping[str, str] | None = None) -> node_settings.NodeSettings:
     """Read the settings file that the environment names.
 
     Args:
-        environment: Variables; those of the process when not given.
+        environment: Environment variables; those of the process by default.
 
     Returns:
         The settings.
 
     Raises:
-        SettingsError: There is no such file, or a field is missing or wrong.
+        SettingsError: The variable is not set, the file cannot be read, or a field is missing or
+            invalid.
     """
     path = (os.environ if environment is None else environment).get(VARIABLE)
     if not path:
@@ -55,16 +56,16 @@
 
 
 def parse(text: str) -> node_settings.NodeSettings:
-    """Read settings.
+    """Parse settings.
 
     Args:
-        text: The file's text.
+        text: Content of the settings file.
 
     Returns:
         The settings.
 
     Raises:
-        SettingsError: A field is missing or wrong, or the text is neither JSON nor YAML.
+        SettingsError: A field is missing or invalid, or the text is neither JSON nor YAML.
     """
     try:
         return _decode(_fields.Fields(_read_document(text)))
@@ -147,9 +148,10 @@
 
 
 def _gather_rate(limits: _fields.Fields) -> float:
-    """Tell how many shards the machine can ask in a second.
+    """Estimate how many shards per second the machine can query.
 
-    Its processor is a share of one core that runs several times as fast.
+    The processor is a share of one core that runs several times as fast as a usual one, so the
+    share is multiplied by the number of cores.
     """
     processor = limits.number("CpuShare", 0.0) * limits.number("CpuCores", 0.0)
     return gather_rate.rate(processor, limits.number("LinkMbps", 0.0) * _MEGABIT)
--- a/src/lineworks/platform/standins/__init__.py
+++ b/src/lineworks/platform/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins that speak the platform's own words: its store, its targets, a whole deployment.
+"""Stand-ins for the platform's store and targets that speak its protocols.
 
-Tests and trials run against them; the program on the users' machines imports none of this.
+Only tests and benchmarks use them; the production program does not import them.
 """
--- a/src/lineworks/platform/standins/documents.py
+++ b/src/lineworks/platform/standins/documents.py
@@ -1,4 +1,4 @@
-"""What the platform's operator, its targets' keys, its balancer and its callers say on the wire."""
+"""Encoders for what operators, targets, the load balancer and callers send on the platform."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
     from collections.abc import Iterable, Sequence
 
 CONFIGURATION_KEY = "op/config"
-"""Key that holds the newest configuration."""
+"""Store key of the newest configuration."""
 
 EXTERNAL_PREFIXES = ("op/", "servers/")
 """Prefixes of the keys that operators and targets write."""
 
 READINESS_REQUEST = b"GET /lineworks/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
-"""What the balancer sends."""
+"""Request that the load balancer sends."""
 
 _DEFAULT_ROUTE = {
     "Hostname": "x.example",
@@ -31,30 +31,30 @@
 
 
 def target_key(name: str) -> str:
-    """Name the key of a target's entry."""
+    """Return the store key of a target's entry."""
     return f"servers/{name}"
 
 
 def evacuation_key(hall: str) -> str:
-    """Name the key by which operators ask to leave a data hall alone."""
+    """Return the store key by which operators request the evacuation of a data hall."""
     return f"op/evacuate/{hall}"
 
 
 def target_entry(
     service: str, address: str, hall: str, slots: int, state: str, born: int | None = None
 ) -> str:
-    """Write a target's entry.
+    """Encode a target's entry.
 
     Args:
-        service: Service that it serves.
-        address: Where it takes requests, as `HOST:PORT`.
+        service: Service that the target serves.
+        address: Address at which it accepts requests, as `HOST:PORT`.
         hall: Its data hall.
-        slots: Requests that it works on at a time.
+        slots: Number of requests that it processes at a time.
         state: `ready` or `draining`.
-        born: Unix millisecond of its start; older targets do not tell it.
+        born: Unix time of its start, in milliseconds; None for older targets, which omit it.
 
     Returns:
-        The entry's JSON, not yet encoded for the store.
+        The entry as JSON, without the store's Base64 encoding.
     """
     return json.dumps(
         {
@@ -79,18 +79,18 @@
     cold_rate: float = 0.0,
     workspaces: Sequence[dict[str, Any]] = (),
 ) -> str:
-    """Write a configuration.
+    """Encode a configuration.
 
     Args:
-        version: Its version.
-        routes: Routes in the platform's form; what is usual may be left out.
+        version: Version of the configuration.
+        routes: Routes in the platform's format; missing fields get default values.
         services: Names of the services.
-        cold_seconds: Seconds that their targets are cold after a start.
-        cold_rate: Requests a second that one handles while cold; 0 for no bound.
-        workspaces: Workspaces in the platform's form; none where no request needs a key.
+        cold_seconds: Seconds for which their targets are cold after a start.
+        cold_rate: Requests per second that a cold target handles; 0 for no bound.
+        workspaces: Workspaces in the platform's format; if empty, no request needs an API key.
 
     Returns:
-        The document as the store holds it.
+        The document in the store's Base64 encoding.
     """
     document = {
         "ConfigVersion": version,
@@ -118,18 +118,18 @@
     priority: int | None = None,
     homes: Sequence[str] = (),
 ) -> dict[str, Any]:
-    """Write a workspace as configurations hold it.
+    """Build a workspace entry of a configuration.
 
     Args:
-        name: Its name.
-        *keys: Its keys.
-        rate: Requests a second that it may send; None for no limit.
-        burst: Requests besides, at once.
-        priority: Rank of its requests; None where that of their routes holds.
-        homes: Home regions; none for any.
+        name: Name of the workspace.
+        *keys: Its API keys.
+        rate: Requests per second that it may send; None for no limit.
+        burst: Number of requests allowed at once beyond the rate.
+        priority: Priority of its requests; None to use the priority of their routes.
+        homes: Home regions; empty for any region.
 
     Returns:
-        Its fields.
+        The fields of the entry.
     """
     return {
         "Name": name,
@@ -141,7 +141,7 @@
 
 
 def encode_value(text: str) -> str:
-    """Encode a value as the store holds it."""
+    """Encode a value as Base64, as the store holds it."""
     return base64.b64encode(text.encode()).decode()
 
 
@@ -154,19 +154,19 @@
     key: str = "",
     claimed: str = "",
 ) -> bytes:
-    """Write a caller's request.
+    """Encode a caller's request.
 
     Args:
-        method: Method.
+        method: HTTP method.
         path: Path.
-        attempt: Identity of the try.
-        budget: Seconds that the caller waits.
+        attempt: Identity of the attempt.
+        budget: Seconds for which the caller waits.
         body: Body; empty for none.
         key: API key; empty for none.
-        claimed: Name of the workspace that the caller says it belongs to; empty for none.
+        claimed: Name of the workspace to which the caller claims to belong; empty for none.
 
     Returns:
-        Its bytes.
+        The encoded request.
     """
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: x.example\r\nX-Attempt-Id: {attempt}\r\n"
--- a/src/lineworks/platform/standins/http_target.py
+++ b/src/lineworks/platform/standins/http_target.py
@@ -1,6 +1,6 @@
-"""A target that answers callers' requests, with the faults that real ones have.
+"""HTTP target that answers callers' requests and can inject the faults of real targets.
 
-It keeps a book of everything that it ran, so a test can hold the promises against it.
+It records every request that it runs, so that tests can check the guarantees to callers.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 RECORD_BYTES = 16
 
 CRASH_SECONDS = 0.045
-"""Seconds after which a target ends under a request that crashes it."""
+"""Seconds from the start of a request that crashes its target until the crash."""
 
 RECORDS = 8
-"""Records of one answer."""
+"""Number of records in an answer."""
 
 
 def records_of(attempt: str, target: str) -> list[bytes]:
-    """Make the records that a target has for a try, so that an answer can be held against them.
+    """Compute the records that a target returns for an attempt, to check an answer against.
 
     Args:
-        attempt: Identity of the try.
+        attempt: Identity of the attempt.
         target: Identity of the target.
 
     Returns:
-        The records, in no order.
+        The records, in no particular order.
     """
     seeds = (f"{attempt}|{target}|{number}".encode() for number in range(RECORDS))
     return [hashlib.md5(seed).digest()[:RECORD_BYTES] for seed in seeds]
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """A request that a target worked on."""
+    """A request that a target ran."""
 
     target: str
     attempt: str
@@ -51,31 +51,31 @@
     body: bytes
     at: float
     fields: dict[str, str] = dataclasses.field(default_factory=dict, compare=False)
-    """Header fields that came with it, names in lower case."""
+    """Header fields of the request, names in lower case."""
 
 
 @dataclasses.dataclass
 class TargetFaults:
-    """How a target misbehaves."""
+    """Faults that a target injects."""
 
     sheds: bool = False
-    """Whether it refuses everything."""
+    """Whether it refuses every request."""
 
     loses_answers: bool = False
-    """Whether it resets the connection after the work."""
+    """Whether it runs requests and then resets the connection instead of answering."""
 
     never_answers: bool = False
-    """Whether it works and never answers."""
+    """Whether it runs requests and never answers."""
 
     trailing_bytes: bytes = b""
-    """Bytes that it sends after each answer."""
+    """Extra bytes that it sends after each answer."""
 
     status: int = 200
-    """Status of its answers."""
+    """HTTP status of its answers."""
 
 
 class HttpTarget(protocol.Factory):
-    """One target."""
+    """A target: the factory of its server connections."""
 
     noisy = False
 
@@ -88,15 +88,15 @@
         work: Callable[[], float],
         runs: list[Run],
     ) -> None:
-        """Make a target; `listen` starts it.
+        """Create a target; `listen` starts it.
 
         Args:
-            host: The host that it runs on, as a reactor.
+            host: Host on which it runs, with the interface of a reactor.
             name: Identity of its process.
-            service: The service that it serves.
-            hall: Data hall that it stands in.
-            work: Draws the seconds that a request takes.
-            book: Takes what was run.
+            service: Service that it serves.
+            hall: Its data hall.
+            work: Returns the duration of a request, in seconds.
+            runs: List to which each run is appended.
         """
         self.host = host
         self.name = name
@@ -107,25 +107,25 @@
         self.port = 8000
         self.slots = 2
         self.born: int | None = None
-        """Unix millisecond of its start, as its entry tells it."""
+        """Unix time of its start in milliseconds, as in its entry; None to omit it."""
         self.faults = TargetFaults()
         self.on_arrival: Callable[[float], None] = lambda at: None
-        """Called with the time of each request that arrives, refused or not."""
+        """Called with the arrival time of each request, refused or not."""
         self.is_fatal: Callable[[Run], bool] = lambda run: False
-        """Says whether a request ends the target that runs it."""
+        """Returns whether a request crashes the target that runs it."""
         self.on_crash: Callable[[Run], None] = lambda run: None
-        """Called with such a request when it is time to end."""
+        """Called with such a request at the time of the crash."""
         self.on_refused: Callable[[str], None] = lambda attempt: None
-        """Called with the identity of each try that it refuses."""
+        """Called with the identity of each attempt that the target refuses."""
         self.connections: set[_TargetProtocol] = set()
         """Open connections."""
         self._listening: Any = None
         self.cancelled = 0
-        """Requests whose connection was closed while they ran."""
+        """Number of requests whose connection was closed while they ran."""
 
     @property
     def is_listening(self) -> bool:
-        """Whether it accepts connections."""
+        """Whether the target accepts connections."""
         return self._listening is not None
 
     def listen(self) -> None:
@@ -133,29 +133,29 @@
         self._listening = self.host.listenTCP(self.port, self)
 
     def close(self) -> None:
-        """Accept no connection any more, and reset those that are open."""
+        """Stop accepting connections and reset the open ones."""
         self._listening.stopListening()
         self._listening = None
         for connection in list(self.connections):
             connection.transport.abortConnection()
 
     def entry(self, state: str = "ready") -> str:
-        """Write its entry for the platform's store."""
+        """Encode the target's entry for the platform's store."""
         address = f"{self.host.address}:{self.port}"
         return documents.target_entry(
             self.service, address, self.hall, self.slots, state, self.born
         )
 
     def records(self, attempt: str) -> bytes:
-        """Make the records of an answer; no two targets give the same ones."""
+        """Return the records of an answer; they differ between targets."""
         return b"".join(records_of(attempt, self.name))
 
     def stamp(self, attempt: str) -> str:
-        """Sign an answer."""
+        """Return the signature of an answer."""
         return f"{self.service}.{attempt}.{self.name}"
 
     def buildProtocol(self, addr: Any) -> _TargetProtocol:  # noqa: N802
-        """Make the end of a new connection."""
+        """Create the protocol of a new connection."""
         return _TargetProtocol(self)
 
 
@@ -171,34 +171,34 @@
         self._is_working = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Note that the connection is open."""
+        """Record the connection as open."""
         self._target.connections.add(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Feed the parser."""
+        """Feed the HTTP parser."""
         self._parser.feed_data(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Drop the request."""
+        """Cancel the running request, if any."""
         self._target.connections.discard(self)
         if self._is_working:
             self._target.cancelled += 1
             self._is_working = False
 
     def on_url(self, url: bytes) -> None:
-        """Take in the path."""
+        """Collect part of the URL."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in a header."""
+        """Collect a header field."""
         self._headers[name.decode().lower()] = value.decode()
 
     def on_body(self, data: bytes) -> None:
-        """Take in the body."""
+        """Collect part of the body."""
         self._body += data
 
     def on_message_complete(self) -> None:
-        """Work on the request."""
+        """Run or refuse the request."""
         target = self._target
         headers, path, body = self._headers, self._url.decode(), self._body
         method = self._parser.get_method().decode()
--- a/src/lineworks/platform/standins/store_model.py
+++ b/src/lineworks/platform/standins/store_model.py
@@ -1,7 +1,7 @@
-"""The platform's store in memory: items with revisions, history, transactions and leases.
+"""In-memory model of the platform's store: revisions, history, transactions and leases.
 
-It may come back from an older copy of itself: what was written since is gone, and revisions and
-identities of leases are given out again.
+It can be restored from an older copy of itself: what was written since is lost, and revisions and
+lease numbers are issued again.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
     from collections.abc import Callable, Sequence
 
 PAGE_ITEMS = 500
-"""Items that a page of a listing holds at most."""
+"""Maximum number of items in a page of a listing."""
 
 _FIRST_LEASE = 1001
 
 
 class CompactedError(Exception):
-    """The history after a revision is gone."""
+    """The history after a revision is no longer available."""
 
 
 class MismatchError(Exception):
-    """A key had another revision than expected."""
+    """A key did not have the expected revision."""
 
 
 class LeaseNotFoundError(Exception):
-    """There is no such lease."""
+    """The lease does not exist or has ended."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredItem:
-    """A key with its value."""
+    """A key with its value, revisions and lease."""
 
     key: str
     value: str
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredChange:
-    """A change: an item as it was written, or a removed key."""
+    """A change: the item as written, or None for a removed key."""
 
     key: str
     revision: int
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """What the store held at a moment."""
+    """State of the store at one time."""
 
     revision: int
     items: dict[str, StoredItem]
@@ -63,13 +63,13 @@
 
 
 class StoreModel:
-    """The store's contents and rules."""
+    """Contents and semantics of the store."""
 
     def __init__(self, clock: Any) -> None:
-        """Start empty.
+        """Create an empty store.
 
         Args:
-            clock: Time and timers, for leases.
+            clock: Clock, for leases.
         """
         self._clock = clock
         self._items: dict[str, StoredItem] = {}
@@ -81,10 +81,10 @@
         self.revision = 0
         """Revision of the last change."""
         self.era = 1
-        """How often it came back from a copy, counted from 1."""
+        """Era: 1 plus the number of times the store was restored from a copy."""
 
     def copy(self) -> StoreCopy:
-        """Copy all that it holds."""
+        """Return a copy of the whole state."""
         return StoreCopy(
             self.revision,
             dict(self._items),
@@ -95,7 +95,7 @@
         )
 
     def restore(self, copy: StoreCopy) -> None:
-        """Go on from an older copy; whoever waits for a change is told to ask again.
+        """Restore an older copy and notify all watchers, so that they ask again.
 
         Args:
             copy: The copy.
@@ -112,12 +112,12 @@
             on_change()
 
     def get(self, key: str) -> StoredItem | None:
-        """Read a key."""
+        """Return the item of a key, or None if it does not exist."""
         self._expire()
         return self._items.get(key)
 
     def page(self, prefix: str, after: str) -> tuple[list[StoredItem], bool]:
-        """Read a page of the items below a prefix.
+        """Read one page of the items below a prefix.
 
         Args:
             prefix: The prefix.
@@ -132,17 +132,18 @@
         return found, len(keys) > PAGE_ITEMS
 
     def changes(self, prefix: str, after: int) -> list[StoredChange]:
-        """List what changed below a prefix.
+        """List the changes below a prefix.
 
         Args:
             prefix: The prefix.
-            after: Revision that is known.
+            after: Revision after which the changes start.
 
         Returns:
-            The changes in order.
+            The changes, in order.
 
         Raises:
-            CompactedError: Some of them are forgotten, or it does not have that revision.
+            CompactedError: Some of them were compacted, or the store has not reached that
+                revision.
         """
         self._expire()
         if after < self._compacted_revision or after > self.revision:
@@ -155,19 +156,19 @@
         writes: Sequence[tuple[str, str, int]],
         removed: Sequence[str],
     ) -> int:
-        """Do all of a transaction or nothing.
+        """Apply a transaction atomically.
 
         Args:
-            expected: Keys with the revision that each must have; 0 for an absent one.
-            writes: Keys with value and lease.
+            expected: Keys with the revision that each must have; 0 for a key that must not exist.
+            writes: Keys with value and lease number; 0 for no lease.
             removed: Keys to remove.
 
         Returns:
             Revision of the change.
 
         Raises:
-            MismatchError: A key had another revision.
-            NoLeaseError: There is no such lease.
+            MismatchError: A key did not have the expected revision.
+            LeaseNotFoundError: A lease does not exist or has ended.
         """
         self._expire()
         for key, revision in expected:
@@ -185,7 +186,7 @@
         return self.revision
 
     def write(self, key: str, value: str) -> int:
-        """Write a key without conditions, as the operator and the targets do."""
+        """Write a key without conditions, as operators and targets do."""
         return self.transact((), ((key, value, 0),), ())
 
     def remove(self, key: str) -> int:
@@ -193,7 +194,7 @@
         return self.transact((), (), (key,))
 
     def grant(self, seconds: float) -> int:
-        """Open a lease."""
+        """Create a lease and return its number."""
         lease = self._next_lease
         self._next_lease += 1
         self._leases[lease] = (self._clock.seconds() + seconds, seconds)
@@ -203,10 +204,10 @@
         """Renew a lease.
 
         Returns:
-            Its length in seconds.
+            Its duration, in seconds.
 
         Raises:
-            NoLeaseError: It is over.
+            LeaseNotFoundError: The lease does not exist or has ended.
         """
         self._expire()
         if lease not in self._leases:
@@ -216,7 +217,7 @@
         return seconds
 
     def end(self, lease: int) -> None:
-        """End a lease; its keys go."""
+        """End a lease and remove its keys."""
         self._leases.pop(lease, None)
         gone = [key for key, item in self._items.items() if item.lease == lease]
         if gone:
@@ -226,19 +227,19 @@
             self._notify_watchers()
 
     def compact(self) -> None:
-        """Forget all changes so far."""
+        """Discard the history up to the current revision."""
         self._history.clear()
         self._compacted_revision = self.revision
 
     def wait(self, prefix: str, on_change: Callable[[], None]) -> Callable[[], None]:
-        """Wait for a change below a prefix.
+        """Register a one-time watcher for a prefix.
 
         Args:
             prefix: The prefix.
-            on_change: Called once at the next change.
+            on_change: Called once at the next change below the prefix.
 
         Returns:
-            A function that stops waiting.
+            A function that removes the watcher.
         """
         entry = (prefix, on_change)
         self._watchers.append(entry)
--- a/src/lineworks/platform/standins/store_rollback.py
+++ b/src/lineworks/platform/standins/store_rollback.py
@@ -1,4 +1,4 @@
-"""Lets a store in memory come back from an older copy, as in the users' drills."""
+"""Rolls an in-memory store back to an older copy, as in the users' recovery drills."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
     from lineworks.platform.standins import store_model
 
 COPY_INTERVAL_SECONDS = 0.2
-"""Seconds between the copies that are kept."""
+"""Interval between copies, in seconds."""
 
 COPY_RETENTION_SECONDS = 8.0
-"""Seconds for which a copy is kept."""
+"""Age at which a copy is dropped, in seconds."""
 
 REWRITE_DELAY_SECONDS = 0.6
-"""Seconds after the return in which operators and targets write again."""
+"""Seconds from a rollback until operators and targets have written their keys again."""
 
 
 class StoreRollback:
-    """Copies of a store, and what others write again after its return."""
+    """Copies of a store, and the keys that operators and targets rewrite after a rollback."""
 
     def __init__(self, clock: Any, model: store_model.StoreModel) -> None:
-        """Start without copies.
+        """Create a rollback helper without copies.
 
         Args:
-            clock: Time and timers.
+            clock: Clock with timers.
             model: The store.
         """
         self._clock = clock
@@ -36,19 +36,19 @@
         self._external_before: dict[str, str] = {}
 
     def schedule_copies(self) -> None:
-        """Copy the store now and then, from now on."""
+        """Copy the store now and periodically from now on."""
         self.take_copy()
         self._clock.callLater(COPY_INTERVAL_SECONDS, self.schedule_copies)
 
     def take_copy(self) -> None:
-        """Copy the store now, and drop copies that are too old."""
+        """Copy the store and drop copies that are too old."""
         now = self._clock.seconds()
         self._copies.append((now, self._model.copy()))
         while self._copies[0][0] < now - COPY_RETENTION_SECONDS:
             self._copies.popleft()
 
     def newest_copy(self, at: float) -> store_model.StoreCopy:
-        """Find the newest copy that is not newer than a time, or else the oldest one.
+        """Return the newest copy taken at or before a time, or else the oldest copy.
 
         Args:
             at: The time, in seconds.
@@ -62,26 +62,26 @@
     def restore(
         self, copy: store_model.StoreCopy, rewrite_delay: float = REWRITE_DELAY_SECONDS
     ) -> None:
-        """Let the store go on from a copy.
+        """Restore the store from a copy.
 
-        Operators and targets write again what they had written since; what the instances had
-        written is gone.
+        Operators and targets later rewrite the keys that they had changed since the copy; what
+        the instances had written since is lost.
 
         Args:
             copy: The copy.
-            rewritten_after: Seconds until the operators and the targets have written again.
+            rewrite_delay: Seconds until the operators and targets have rewritten their keys.
         """
         self._external_before = self._external_items()
         self._model.restore(copy)
         self._clock.callLater(rewrite_delay, self._restore_external, copy.revision)
 
     def remove(self, key: str) -> None:
-        """Remove a key, as its writer does; it is not written again."""
+        """Remove a key on behalf of its writer, which then does not rewrite it."""
         self._external_before.pop(key, None)
         self._model.remove(key)
 
     def _external_items(self) -> dict[str, str]:
-        """List what others than the instances keep in the store."""
+        """Return the values, by key, that operators and targets keep in the store."""
         return {
             item.key: item.value
             for prefix in documents.EXTERNAL_PREFIXES
@@ -89,7 +89,7 @@
         }
 
     def _restore_external(self, copied: int) -> None:
-        """Restore keys of others, unless they were written since the store's return."""
+        """Restore keys of operators and targets unless they were written since the rollback."""
         held, self._external_before = self._external_before, {}
         present = self._external_items()
         written = {change.key for change in self._model.changes("", copied)}
--- a/src/lineworks/platform/standins/store_server.py
+++ b/src/lineworks/platform/standins/store_server.py
@@ -1,6 +1,7 @@
-"""The platform's store as a server, speaking its protocol over HTTP.
+"""HTTP server with the protocol of the platform's store.
 
-It can be down, slow, lose answers, or turn some callers away, as the real one does at times.
+It can inject the faults of the real store: it can be down, silent or slow, lose answers, or refuse
+calls because of their rate.
 """
 
 from __future__ import annotations
@@ -20,47 +21,47 @@
     Answer = Callable[[server_connection.Answer], None]
 
 MAX_WAIT_SECONDS = 30.0
-"""Seconds that a watch may wait at most."""
+"""Maximum time for which a watch waits, in seconds."""
 
 
 @dataclasses.dataclass
 class Faults:
-    """What is wrong with the store."""
+    """Faults that the store injects."""
 
     is_down: bool = False
-    """Whether every call is refused."""
+    """Whether every call is refused with status 503."""
 
     is_busy: bool = False
-    """Whether every call is refused for the rate of calls."""
+    """Whether every call is refused with status 429, as for an exceeded rate limit."""
 
     is_silent: bool = False
-    """Whether no call is answered or done."""
+    """Whether calls are neither executed nor answered."""
 
     delay: float = 0.0
-    """Seconds that each answer is late."""
+    """Delay of each answer, in seconds."""
 
     lose_answers: int = 0
-    """How many of the next writes are done and not answered."""
+    """Number of next writes that are executed but not answered."""
 
 
 class StoreServer:
-    """Serves one store."""
+    """HTTP server of one store."""
 
     def __init__(self, clock: Any, model: store_model.StoreModel) -> None:
-        """Make a server; `factory` is what listens.
+        """Create a server; `factory` accepts its connections.
 
         Args:
-            clock: Time and timers.
-            model: The contents.
+            clock: Clock with timers.
+            model: The store to serve.
         """
         self._clock = clock
         self._model = model
         self._port: Any = None
         self.faults = Faults()
         self.calls: collections.Counter[str] = collections.Counter()
-        """Calls taken so far, by path."""
+        """Number of calls received so far, by the first path segment after `/lineworks/`."""
         self.era_header: Callable[[], bytes] = lambda: b"%d" % model.era
-        """Says in which era the store is, as its answers tell it."""
+        """Returns the value of the `Store-Era` header of answers."""
         self.factory = server_connection.Server(
             clock,
             lambda: server_connection.Limits(body_bytes=4 * 1024 * 1024, idle_seconds=120),
@@ -69,17 +70,17 @@
 
     @property
     def url(self) -> str:
-        """Base URL, once it listens."""
+        """Base URL; available once the server listens."""
         host = self._port.getHost()
         return f"http://{host.host}:{host.port}"
 
     def listen(self, reactor: Any, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Serve on a real socket.
+        """Listen on a TCP socket.
 
         Args:
             reactor: Twisted's reactor.
             host: IP address.
-            port: TCP port; 0 lets the system choose.
+            port: TCP port; 0 lets the operating system choose one.
         """
         self._port = reactor.listenTCP(port, self.factory, interface=host, backlog=512)
 
@@ -109,7 +110,7 @@
         delayed(found)
 
     def _with_era(self, answer: Answer) -> Answer:
-        """Tell in an answer which copy the store worked with when it was made."""
+        """Wrap `answer` so that it adds the store's era at the time it is called."""
 
         def answer_with_era(found: server_connection.Answer) -> None:
             era = (b"Store-Era", self.era_header())
--- a/src/lineworks/platform/store.py
+++ b/src/lineworks/platform/store.py
@@ -1,10 +1,11 @@
 """Client of the platform's store: items with revisions, watches, transactions and leases.
 
-Every call is counted, because every call has a price. A write without an answer is reported as
-unsure, never as failed: it may take effect seconds later.
+Calls are counted because each one has a cost. A write without an answer is reported as unsure,
+never as failed: it may take effect seconds later.
 
-The store may come back from an older copy of itself. What it gave out before means something else
-then: revisions are only compared together with their era, and leases of an earlier era are over.
+The store may be restored from an older copy and then issue the same revisions and lease numbers
+again. So revisions are only compared together with their era, and leases of an earlier era are
+treated as ended.
 """
 
 from __future__ import annotations
@@ -26,41 +27,41 @@
     from lineworks.models import node_settings
 
 CALL_SECONDS = 1.5
-"""Seconds to wait for an answer; the store usually takes 4 ms, and 0.4 s when it is slow."""
+"""Timeout for an answer, in seconds. The store usually takes 4 ms, and 0.4 s when it is slow."""
 
-_KEY = "PrivateKey"  # Any key of the store; nothing about it is private.
-_ERA = b"store-era"  # Rises by one each time that the store comes back from an older copy.
+_KEY = "PrivateKey"  # The platform's name for any key of the store; the key is not private.
+_ERA = b"store-era"  # Increases by one each time the store is restored from an older copy.
 _JSON = b"Content-Type: application/json\r\n"
 _MAX_PAGES = 100
 
 
 class StoreError(Exception):
-    """The store did not do what it was asked; nothing was written."""
+    """The store did not carry out a call; nothing was written."""
 
 
 class StoreUnsureError(StoreError):
-    """No answer came, so a write may have taken effect or may still do so."""
+    """No valid answer arrived, so a write may have taken effect or may still do so."""
 
 
 class HistoryGoneError(StoreError):
-    """The changes after the given position are not known any more."""
+    """The store no longer holds the changes after the given position."""
 
 
 class StoreBusyError(StoreError):
-    """More calls were made than are allowed; nothing was done."""
+    """The store refused a call because of its rate limit; nothing was done."""
 
 
 class LeaseGoneError(StoreError):
-    """There is no such lease."""
+    """The lease does not exist or has ended."""
 
 
 class ConflictError(StoreError):
-    """A key had another revision than expected."""
+    """A key did not have the expected revision."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Answer:
-    """A whole answer of the store."""
+    """A complete answer of the store."""
 
     status: int
     document: Any
@@ -69,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Page:
-    """A page of a listing."""
+    """One page of a listing."""
 
     items: list[store_items.Item]
     position: positions.Position
@@ -77,7 +78,7 @@
 
 
 class Store:
-    """Talks to the store over HTTP."""
+    """HTTP client of the store."""
 
     def __init__(
         self,
@@ -86,25 +87,25 @@
         timeout: float = CALL_SECONDS,
         resends_reads: bool = True,
     ) -> None:
-        """Make a client; nothing is sent yet.
+        """Create a client without connecting.
 
         Args:
             reactor: Twisted's reactor.
-            address: Where the store listens.
+            address: Address of the store.
             timeout: Seconds to wait for an answer.
-            repeats: Whether reads are sent again while no answer comes.
+            resends_reads: Whether reads are sent again while no answer arrives.
         """
         self._resends_reads = resends_reads
         self._timeout = timeout
         self._address = address
         self._connections = _store_connections.StoreConnections(reactor, address)
         self.era = store_era.StoreEra()
-        """Which era the store is in."""
+        """Latest known era of the store."""
         self.calls: collections.Counter[str] = collections.Counter()
-        """Calls made so far, by kind."""
+        """Number of requests sent so far, by kind of call."""
 
     def start(self) -> None:
-        """Do nothing; the first call connects."""
+        """Do nothing: the first call opens a connection."""
 
     def stop(self) -> None:
         """Close the idle connections."""
@@ -117,7 +118,7 @@
             key: The key.
 
         Returns:
-            The item, or None where there is none.
+            The item, or None if the key does not exist.
 
         Raises:
             StoreError: The store cannot be reached or refused.
@@ -130,13 +131,14 @@
         return _decode_document(lambda: _item(_fields.Fields(answer.document), answer.era))
 
     async def list_items(self, prefix: str) -> store_items.Listing:
-        """Read all items below a prefix, page by page.
+        """List all items with a key prefix, page by page.
 
         Args:
             prefix: The prefix.
 
         Returns:
-            The items. Pages are no snapshot, so the listing's position is that of the first.
+            The items. The pages do not form a snapshot, so the listing has the position of the
+            first page.
 
         Raises:
             StoreError: The store cannot be reached or refused.
@@ -146,7 +148,7 @@
         for _ in range(_MAX_PAGES):
             page = await self._page(prefix, items[-1].key if items else "")
             if first is not None and page.position.era != first.era:
-                # Pages of two copies make up no listing.
+                # The store was restored between two pages, so start over.
                 items, first = [], None
                 continue
             first = first or page.position
@@ -164,18 +166,18 @@
     async def watch(
         self, prefix: str, after: positions.Position, wait: float
     ) -> store_items.Changes:
-        """Read what has changed below a prefix; wait for a change if there is none.
+        """Read the changes below a prefix, and wait for one if there is none yet.
 
         Args:
             prefix: The prefix.
-            after: Position that is known.
-            wait: Seconds to wait at most.
+            after: Position of the last known change.
+            wait: Maximum time to wait, in seconds; 0 returns at once.
 
         Returns:
             The changes.
 
         Raises:
-            HistoryGoneError: The changes since that position are not known any more.
+            HistoryGoneError: The store no longer holds the changes since that position.
             StoreError: The store cannot be reached or refused.
         """
         self.era.learn(after.era)
@@ -187,8 +189,8 @@
             answer = await self._call("watch", "GET", path, extra_seconds=wait)
         else:
             answer = await self._read("watch", path)
-        # Not only when it refuses: a store whose new count has passed the old revision answers,
-        # and leaves out what it gave lower numbers to.
+        # Checked even if the store answers with 200: once the revision of a restored store has
+        # passed the given one, it answers but omits changes with lower revisions.
         if answer.era != after.era:
             raise HistoryGoneError("watch: the store came back from an older copy")
         if answer.status == 410:
@@ -202,21 +204,22 @@
         expected: Sequence[tuple[str, positions.Position]] = (),
         removed: Sequence[str] = (),
     ) -> positions.Position:
-        """Write and remove keys, all or none.
+        """Write and remove keys atomically.
 
         Args:
             writes: Keys to write.
-            expected: Keys with the position that each must have; `positions.ABSENT` for an absent
-                one.
+            expected: Keys with the position that each must have; `positions.ABSENT` for a key that
+                must not exist.
             removed: Keys to remove.
 
         Returns:
             Position of the change.
 
         Raises:
-            ConflictError: A key had another position.
-            LeaseGoneError: There is no such lease.
-            StoreUnsureError: No answer came, or the store came back from an older copy meanwhile.
+            ConflictError: A key did not have the expected position.
+            LeaseGoneError: A lease does not exist or has ended.
+            StoreUnsureError: No answer arrived, or the store was restored from an older copy in
+                the meantime.
             StoreError: Nothing was written.
         """
         writes = list(writes)
@@ -246,22 +249,22 @@
         _expect_ok("write", answer)
         eras = [position.era for position in known] + [lease.era for lease in leases]
         if any(era != answer.era for era in eras):
-            # It held for what has the same number now, which may be another's.
+            # The store compared numbers of its new era, which may belong to other changes or leases.
             raise StoreUnsureError("write: the store came back from an older copy")
         revision = _decode_document(lambda: _fields.Fields(answer.document).integer("Revision"))
         return positions.Position(answer.era, revision)
 
     async def grant_lease(self, seconds: float) -> store_items.Lease:
-        """Open a lease.
+        """Create a lease.
 
         Args:
-            seconds: How long it lasts unless it is renewed.
+            seconds: Seconds until it ends unless it is renewed.
 
         Returns:
             The lease.
 
         Raises:
-            StoreError: There is none, or it is not known.
+            StoreError: No lease was created, or its number is not known.
         """
         document = {"TtlMs": int(seconds * 1000)}
         answer = await self._call("lease", "POST", "/lineworks/kv-lease", document)
@@ -276,8 +279,8 @@
             lease: The lease.
 
         Raises:
-            LeaseGoneError: It is over.
-            StoreError: It is not known whether it was renewed.
+            LeaseGoneError: The lease has ended.
+            StoreError: The lease was not renewed, or it is not known whether it was.
         """
         self._expect_current(lease)
         path = f"/lineworks/kv-keep/{lease.number}"
@@ -288,21 +291,21 @@
         self._expect_current(lease)
 
     async def end_lease(self, lease: store_items.Lease) -> None:
-        """End a lease; its keys disappear.
+        """End a lease; the store removes its keys.
 
         Args:
             lease: The lease.
 
         Raises:
-            StoreError: It is not known whether it ended.
+            StoreError: The call failed, so the lease may not have ended.
         """
         if lease.era < self.era.value:
-            # Gone with its era; its number may be another's now.
+            # It ended with its era, and its number may belong to another lease now.
             return
         await self._call("end", "DELETE", f"/lineworks/kv-lease-end/{lease.number}")
 
     def _expect_current(self, lease: store_items.Lease) -> None:
-        """Refuse a lease of an earlier era: its number may have been given to somebody else."""
+        """Reject a lease of an earlier era, since its number may belong to another lease now."""
         if lease.era < self.era.value:
             raise LeaseGoneError("the store came back from an older copy without the lease")
 
@@ -321,7 +324,7 @@
         )
 
     async def _read(self, kind: str, path: str) -> _Answer:
-        """Make a call that changes nothing, and so may be sent again while no answer comes."""
+        """Make a read-only call, which may be resent while no answer arrives."""
 
         if not self._resends_reads:
             return await self._call(kind, "GET", path)
@@ -333,7 +336,7 @@
         return await self._answer(kind, self._connections.read(data, self._timeout, on_sent))
 
     async def _answer(self, kind: str, call: Awaitable[Any]) -> _Answer:
-        """Wait for a call and read its answer."""
+        """Wait for a call and decode its answer."""
         try:
             end = await call
         except _store_connections.ConnectError as error:
@@ -355,7 +358,7 @@
 
 
 def _era_of(answer: client_connection.Response) -> int:
-    """Read which copy answers; a store that does not tell has one only."""
+    """Read the era of an answer; 0 if the store sends none, which then has only one era."""
     text = answer.headers.get(_ERA, b"0")
     try:
         return int(text)
@@ -402,7 +405,7 @@
 def _changes(found: _fields.Fields, era: int) -> store_items.Changes:
     rows = []
     for row in found.tables("events"):
-        # "Compacted" marks a removed key; it says nothing about the history.
+        # "Compacted" marks a removed key; it is unrelated to compaction of the history.
         is_removed = "Compacted" in row
         value = None if is_removed else _value(row)
         position = positions.Position(era, row.integer("Revision"))
--- a/src/lineworks/platform/store_era.py
+++ b/src/lineworks/platform/store_era.py
@@ -1,4 +1,4 @@
-"""Which era the platform's store is in, as one process knows it."""
+"""Era of the platform's store as known to one process."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class StoreEra:
-    """The greatest era that was heard of; it rises when the store returns from an older copy."""
+    """Greatest known era; it increases when the store is restored from an older copy."""
 
     def __init__(self) -> None:
         self._era: int | None = None
         self.listeners: list[Callable[[], None]] = []
-        """Called when the store is known to have come back from an older copy."""
+        """Called when a greater era shows that the store was restored from an older copy."""
         self.first_listeners: list[Callable[[], None]] = []
-        """Called when an era is known for the first time; the store may have just come back."""
+        """Called when the first era is learned; the store may just have been restored."""
 
     @property
     def value(self) -> int:
-        """The era; 0 while none is known."""
+        """The greatest known era; 0 if none is known yet."""
         return self._era or 0
 
     def learn(self, era: int) -> None:
-        """Take in an era.
+        """Record an era and call the listeners if it is the first or a greater one.
 
         Args:
             era: The era, from an answer of the store or from another instance.
--- a/src/lineworks/platform/store_items.py
+++ b/src/lineworks/platform/store_items.py
@@ -1,4 +1,4 @@
-"""What the platform's store holds, as its client takes and gives it."""
+"""Data types of the client of the platform's store."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease; the store may give its number out again after it came back from an older copy."""
+    """A lease. The store may reuse its number after being restored from an older copy."""
 
     number: int
-    """Its number."""
+    """Number that the store assigned."""
 
     era: int
-    """Era in which it was given out."""
+    """Era of the store in which it was granted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,13 +28,13 @@
     """The key."""
 
     value: bytes = dataclasses.field(repr=False)
-    """The value. That of the configuration holds API keys."""
+    """The value; not in the repr, because the configuration's value holds API keys."""
 
     position: positions.Position
     """Position of its last change."""
 
     lease: int = 0
-    """Number of the lease that it ends with; 0 for none."""
+    """Number of the lease to which the key is attached; 0 for none."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,18 +59,18 @@
     """The items."""
 
     position: positions.Position
-    """Position that nothing in the listing is older than."""
+    """Position from which to watch: the listing reflects at least all changes up to it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What has changed below a prefix."""
+    """Changes below a prefix."""
 
     changes: list[Change]
-    """The changes in order."""
+    """The changes, in order."""
 
     position: positions.Position
-    """Position up to which they go."""
+    """Position up to which the changes are complete."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,4 +84,4 @@
     """The value."""
 
     lease: Lease | None = None
-    """Lease that it ends with."""
+    """Lease to which the key is attached, or None."""
--- a/src/lineworks/platform/target_entries.py
+++ b/src/lineworks/platform/target_entries.py
@@ -1,4 +1,4 @@
-"""The entries that targets keep in the platform's store (JSON)."""
+"""Decoder for the entries that targets keep in the platform's store as JSON."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from lineworks.platform import _fields
 
 PREFIX = "servers/"
-"""Prefix of the keys; what follows is the identity of the target's process."""
+"""Prefix of the keys; the rest of the key is the identity of the target's process."""
 
 _READY = "ready"
 _LEAVING = "draining"
@@ -17,26 +17,26 @@
 
 
 MAX_KEY_CHARACTERS = 120
-"""Characters of a key that an error names."""
+"""Maximum length of a key quoted in an error, in characters."""
 
 
 class EntryError(Exception):
-    """An entry cannot be used; the message names the field."""
+    """An entry is invalid; the message names the field."""
 
 
 def decode(key: str, data: bytes) -> target_view.TargetEntry:
-    """Read an entry.
+    """Decode an entry.
 
     Args:
-        key: Its key.
+        key: Key of the entry.
         data: The stored value.
 
     Returns:
         The entry.
 
     Raises:
-        EntryError: It is no JSON, or a field is missing or wrong. Anybody may write such a key, so
-            an entry with any field amiss names no target to use.
+        EntryError: The value is not JSON, or a field is missing or invalid. Anyone may write such
+            a key, so an entry with any invalid field is rejected as a whole.
     """
     identity = key.removeprefix(PREFIX)
     try:
@@ -51,7 +51,7 @@
     state = found.text("State")
     if state not in _STATES:
         raise _fields.DocumentError(f"State: expected one of {_STATES}")
-    # Not used here; an entry that lacks them was not written by a target.
+    # Unused fields, but an entry without them was not written by a target.
     found.text("ConfigVersion")
     found.integer("CallSeq")
     host, port = found.address("Address")
@@ -63,12 +63,12 @@
         hall=found.text("Zone"),
         host=host,
         port=port,
-        # Requests worked on at a time; a short queue comes on top.
+        # Requests processed at a time; the target has a short queue besides.
         slots=found.integer("Capacity", minimum=1),
         is_leaving=state == _LEAVING,
-        # Time still left of the slow phase after a start.
+        # Time left in the slow phase after a start.
         is_cold=found.number("WarmupLeftMs") > 0,
-        # Older targets don't tell when they started; 0 then.
+        # Older targets don't report when they started.
         born=found.integer(_STARTED_AT) if _STARTED_AT in found.names else 0,
     )
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's documents become the product's types, or a clear error."""
+"""Platform adapter: documents decode to the product's types or to an error that names the field."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     return configuration.decode(json.dumps(document).encode())
 
 
-def test_settings_become_the_products_own():
+def test_settings_decode_to_the_products_types():
     found = settings.parse(SETTINGS)
     assert (found.name, found.hall, found.region) == ("edge-1", "hall-a", "akl")
     assert found.callers.port == 8104
@@ -74,12 +74,12 @@
         ('NodeName: "edge-1"', "NodeName: [", "document"),
     ],
 )
-def test_bad_settings_name_the_field(old, new, named):
+def test_errors_of_invalid_settings_name_the_field(old, new, named):
     with pytest.raises(settings.SettingsError, match=named):
         settings.parse(SETTINGS.replace(old, new))
 
 
-def test_bounds_of_quotas_and_revocation_may_be_told_or_left_out():
+def test_bounds_of_quotas_and_revocation_are_optional():
     found = settings.parse(SETTINGS)
     assert found.quota_bound == quota.QuotaBound()
     assert found.revocation == access.RevocationPolicy()
@@ -89,14 +89,14 @@
     assert found.revocation == access.RevocationPolicy(is_strict=True, seconds=2.5)
 
 
-def test_missing_settings_are_told():
+def test_missing_settings_raise_an_error():
     with pytest.raises(settings.SettingsError, match="LINEWORKS_SETTINGS"):
         settings.load({})
     with pytest.raises(settings.SettingsError, match="No such file"):
         settings.load({"LINEWORKS_SETTINGS": "nowhere.yaml"})
 
 
-def test_a_plain_route():
+def test_a_route_to_one_service():
     found = decode()
     route = found.match("x.EXAMPLE", "/a/b")
     assert not route.is_repeatable
@@ -106,7 +106,7 @@
     assert found.limits.header_seconds == 3.0
 
 
-def test_a_split_route():
+def test_a_route_split_by_weight():
     parts = [{"Service": "a", "Weight": 3}, {"Service": "b", "Weight": 1}]
     route = decode(Service=None, WeightedSplit=parts).match("x.example", "/a/")
     assert [(part.service, part.weight) for part in route.split] == [("a", 3), ("b", 1)]
@@ -130,18 +130,18 @@
         ({"Fanout": [1]}, "Routing.0.Fanout"),
     ],
 )
-def test_a_bad_route_names_the_field(changes, named):
+def test_errors_of_an_invalid_route_name_the_field(changes, named):
     with pytest.raises(configuration.ConfigurationError, match=named):
         decode(**changes)
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"\xff", b'{"Routing": []}'])
-def test_a_document_that_is_no_configuration_is_refused(data):
+def test_a_document_that_is_not_a_configuration_is_rejected(data):
     with pytest.raises(configuration.ConfigurationError):
         configuration.decode(data)
 
 
-def test_an_entry_of_a_target():
+def test_decoding_a_target_entry():
     text = {
         "Service": "s",
         "Address": "10.1.2.3:80",
@@ -160,26 +160,26 @@
         target_entries.decode("servers/i-1", json.dumps({**text, "Address": "x"}).encode())
 
 
-def test_time_budgets():
+def test_parsing_time_budgets():
     assert headers.read_budget(b"500") == 0.5
     assert headers.read_budget(None) is None
     assert headers.read_budget(b"-1") is None
     assert headers.read_budget(b"99999999") == 600
 
 
-def test_what_differs_by_target():
+def test_headers_that_differ_between_targets():
     lines = headers.write_target_fields("i-1", 0.25)
     assert lines == b"X-Time-Budget: 250\r\nX-Expect-Instance: i-1\r\n"
     assert b": 1\r\n" in headers.write_target_fields("i-1", -3)
 
 
-def test_load_reports():
+def test_parsing_load_reports():
     assert headers.read_load({b"x-server-load": b"3,0,8"}) == headers.LoadReport(3, 0)
     for bad in (b"", b"3", b"a,b,c", b"-1,0,2"):
         assert headers.read_load({b"x-server-load": bad}) is None
 
 
-def test_statements_of_not_run():
+def test_answers_that_state_that_the_request_has_not_run():
     assert headers.is_not_run(503, {b"x-not-executed": b"1"})
     assert headers.is_not_run(421, {})
     assert not headers.is_not_run(503, {})
@@ -187,17 +187,17 @@
     assert response.headers[b"a"] == b"2"
 
 
-def test_settings_are_read_from_json_as_from_yaml():
+def test_settings_decode_equally_from_json_and_yaml():
     document = json.dumps(yaml.safe_load(SETTINGS))
     assert settings.parse(document) == settings.parse(SETTINGS)
 
 
-def test_the_template_of_settings_asks_for_all_fields_as_json():
+def test_the_settings_template_writes_all_fields_as_json():
     root = pathlib.Path(__file__).parents[1]
     role = tomllib.loads((root / "deploy" / "system.toml").read_text())["roles"]["node"]
     assert (root / role["template"]).read_text().strip() == "{{.|json}}"
 
 
-def test_settings_that_are_neither_json_nor_yaml_are_refused():
+def test_settings_that_are_neither_json_nor_yaml_are_rejected():
     with pytest.raises(settings.SettingsError, match=r"\(document\)"):
         settings.parse("{: [")
