--- a/src/lineworks/models/__init__.py
+++ b/src/lineworks/models/__init__.py
@@ -1,1 +1,1 @@
-"""Validated models at the border: settings, configuration and HTTP bodies."""
+"""Validated models of external data: settings, configuration and HTTP bodies."""
--- a/src/lineworks/models/_base.py
+++ b/src/lineworks/models/_base.py
@@ -1,4 +1,4 @@
-"""What all border models share."""
+"""Base class and field types of the models of external data."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 """A name of a service, shard, target, selector, instance or hall."""
 
 Port = Annotated[int, pydantic.Field(ge=0, le=65535)]
-"""A TCP port; 0 lets the system choose one."""
+"""A TCP port; 0 lets the operating system choose one."""
 
 
 class Model(pydantic.BaseModel):
-    """Refuses unknown keys and does not convert between types."""
+    """Base model: immutable, rejects unknown keys and does not convert between types."""
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 def first_problem(error: pydantic.ValidationError) -> str:
-    """Write the first problem of a validation error as one line.
+    """Format the first problem of a validation error as one line.
 
     Args:
-        error: The error.
+        error: The validation error.
 
     Returns:
-        The path of the key with what is wrong, and how many more problems there are.
+        The path of the key, the problem, and the number of further problems if there are any.
     """
     problems = error.errors(include_url=False, include_input=False)
     first = problems[0]
--- a/src/lineworks/models/caller_http.py
+++ b/src/lineworks/models/caller_http.py
@@ -1,4 +1,4 @@
-"""The caller interface: request and response bodies of `/v1/search`, `/v1/run`, `/v1/tickets`.
+"""HTTP caller interface: request and response bodies of `/v1/search`, `/v1/run`, `/v1/tickets`.
 
 Described in docs/reference/callers.md.
 """
@@ -23,19 +23,19 @@
     from lineworks.engine import requests
 
 DEFAULT_DEADLINE_MS = 1000
-"""Milliseconds that a caller waits when it names no deadline."""
+"""Deadline of requests that specify none, in milliseconds."""
 
 MAX_FIELDS = 32
-"""Fields that a search may have."""
+"""Maximum number of fields in a search."""
 
 CLASS_FIELD = "class"
-"""Name under which selectors see the caller class."""
+"""Name of the query field that holds the caller class for selectors."""
 
 WORKSPACE_FIELD = "workspace"
-"""Name under which selectors see the workspace."""
+"""Name of the query field that holds the workspace for selectors."""
 
 LEGACY_WORKSPACE_FIELD = "tenant"
-"""Name of the same before: callers may still send it, and selectors may still match it."""
+"""Former name of the same field. Callers may still send it and selectors may still match it."""
 
 _Workspace = pydantic.Field(
     default="none",
@@ -47,27 +47,27 @@
 
 
 class RequestError(Exception):
-    """A caller's request breaks a rule; the message names the field."""
+    """A caller's request is invalid; the message names the field."""
 
     def __init__(self, field: str, message: str) -> None:
-        """Make an error.
+        """Create an error.
 
         Args:
-            field: Path of the field.
-            message: What is wrong with it.
+            field: Path of the invalid field.
+            message: The problem.
         """
         super().__init__(f"{field}: {message}")
         self.field = field
 
 
 class SearchBody(_base.Model):
-    """A search."""
+    """Body of a search request."""
 
     fields: dict[_base.Name, str] = pydantic.Field(default={}, max_length=MAX_FIELDS)
-    """What selectors match, besides class and workspace."""
+    """Fields that selectors match, in addition to class and workspace."""
 
     body: str = ""
-    """Handed to every shard as it is."""
+    """Body passed unchanged to every shard."""
 
     caller_class: _base.Name = pydantic.Field(default="default", alias="class")
     """Caller class."""
@@ -79,13 +79,13 @@
     """Milliseconds that the caller waits."""
 
     min_coverage: float | None = pydantic.Field(default=None, ge=0.0, le=1.0, strict=False)
-    """Share of shards below which the caller wants a refusal."""
+    """Share of shards, from 0 to 1, below which the request is to be refused."""
 
     def selector_fields(self) -> dict[str, str]:
-        """List the fields that selectors match.
+        """Return the fields that selectors match.
 
         Returns:
-            The search's own fields with class and workspace.
+            The search's own fields, class and workspace.
         """
         return {
             **self.fields,
@@ -96,16 +96,16 @@
 
 
 class RunBody(_base.Model):
-    """One request to one service."""
+    """Body of a single request to one service."""
 
     service: _base.Name
     """The service."""
 
     shard: _base.Name | None = None
-    """The shard, where the service has several."""
+    """The shard, if the service has several."""
 
     body: str = ""
-    """Handed to the target as it is."""
+    """Body passed unchanged to the target."""
 
     caller_class: _base.Name = pydantic.Field(default="default", alias="class")
     """Caller class."""
@@ -117,56 +117,56 @@
     """Milliseconds that the caller waits."""
 
     unrepeatable: bool = False
-    """Whether it may run at most once."""
+    """Whether the request may run at most once."""
 
     ticket: str | None = pydantic.Field(default=None, max_length=400)
-    """A ticket from `/v1/tickets`, so that the caller may ask again safely."""
+    """Ticket from `/v1/tickets` that lets the caller safely retry the request."""
 
     def fingerprint(self) -> str:
-        """Digest what the request does.
+        """Compute a digest of what the request asks for.
 
         Returns:
-            Hexadecimal digits, equal for requests that ask for the same thing.
+            The digest in hexadecimal; equal for requests that ask for the same thing.
         """
         parts = [self.service, self.shard, self.body, self.workspace]
         return request_digest(parts)
 
 
 class TicketsBody(_base.Model):
-    """Asks for tickets."""
+    """Body of a request for tickets."""
 
     count: int = pydantic.Field(default=1, ge=1, le=100)
-    """How many."""
+    """Number of tickets."""
 
     lifetime_ms: int = pydantic.Field(default=60_000, ge=1000, le=600_000)
-    """Milliseconds for which each may be used."""
+    """Validity of each ticket, in milliseconds."""
 
 
 def request_digest(parts: Sequence[Any]) -> str:
-    """Digest a list of plain values.
+    """Compute a digest of a list of values.
 
     Args:
-        parts: Values that JSON can hold.
+        parts: Values that can be serialised as JSON.
 
     Returns:
-        SHA-256 in hexadecimal digits.
+        SHA-256 of their JSON, in hexadecimal.
     """
     return hashlib.sha256(json.dumps(parts).encode()).hexdigest()
 
 
 def parse(model: type[_base.Model], data: bytes, limit: int) -> Any:
-    """Read a request body.
+    """Parse and validate a request body.
 
     Args:
-        model: The model that it must fit.
-        data: JSON.
-        limit: Bytes allowed.
+        model: Model of the body.
+        data: The body as JSON; an empty body counts as an empty object.
+        limit: Maximum size of the body, in bytes.
 
     Returns:
         An instance of the model.
 
     Raises:
-        RequestError: The body is too large, not JSON, or breaks a rule.
+        RequestError: The body is too large, not JSON, or invalid.
     """
     if len(data) > limit:
         raise RequestError("(body)", f"larger than {limit} bytes")
@@ -197,20 +197,21 @@
 
 
 def status_of(found: verdict.Verdict) -> int:
-    """Choose the HTTP status of a verdict.
+    """Return the HTTP status for a verdict.
 
     Args:
         found: The verdict.
 
     Returns:
-        200 for an answer; else by reason, 503 for every reason that asking again may mend.
+        200 if a request succeeded; otherwise a status by reason, and 503 for all reasons where a
+        retry may succeed.
     """
     return 200 if found.is_ok else _STATUS_BY_REASON.get(found.reason, _DEFAULT_STATUS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A response to a caller, before it is written as HTTP."""
+    """A response to a caller, before it is encoded as HTTP."""
 
     status: int
     """HTTP status."""
@@ -219,15 +220,15 @@
     """The JSON body."""
 
     retry_after: float | None = None
-    """Seconds after which the caller may ask again."""
+    """Seconds after which the caller may retry; None to leave it open."""
 
 
 def answer_reply(answer: requests.Answer, config_age: float) -> Reply:
-    """Describe an answer to its caller.
+    """Build the response for the answer of a query.
 
     Args:
         answer: The answer.
-        config_age: Seconds since the configuration was known to be the newest.
+        config_age: Seconds since the configuration was last known to be the newest.
 
     Returns:
         The response.
@@ -247,11 +248,11 @@
 
 
 def verdict_reply(found: verdict.Verdict, retry_after: float | None = None) -> Reply:
-    """Describe a request that never became a query.
+    """Build the response for a request that never became a query.
 
     Args:
         found: The verdict.
-        retry_after: Seconds after which the caller may ask again.
+        retry_after: Seconds after which the caller may retry.
 
     Returns:
         The response.
@@ -260,13 +261,13 @@
 
 
 def problem_reply(status: int, title: str, detail: str, **more: Any) -> Reply:
-    """Describe a request that could not be read.
+    """Build a problem response for a request that could not be parsed.
 
     Args:
         status: HTTP status.
-        title: What kind of problem.
-        detail: What is wrong.
-        more: Further members.
+        title: Kind of problem.
+        detail: Description of the problem.
+        more: Further members of the JSON document.
 
     Returns:
         The response.
@@ -322,12 +323,12 @@
 def describe_match(
     matched: str | None, considered: Sequence[str], group: catalog.Group
 ) -> dict[str, Any]:
-    """Describe how a query would be planned.
+    """Describe how a query would be routed.
 
     Args:
-        matched: Name of the selector that serves it, or None.
-        considered: Names of all selectors that match.
-        group: The group reached.
+        matched: Name of the selector that serves the query, or None.
+        considered: Names of all matching selectors.
+        group: Group of services that the query reaches.
 
     Returns:
         A JSON document.
--- a/src/lineworks/models/configuration.py
+++ b/src/lineworks/models/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration that operators write: services, selectors and classes.
+"""Models of the operators' configuration: services, selectors and caller classes.
 
 A configuration is a set of items, each under a key such as `service/score-01`. A change puts or
-deletes items. This module checks items and builds the catalog that the decisions use.
+deletes items. This module validates items and builds the catalog that the decision logic uses.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from lineworks.models import _base
 
 Labels = dict[_base.Name, str]
-"""Label names with values."""
+"""Label values by name."""
 
 
 class ConfigurationError(Exception):
-    """A configuration breaks a rule; the message names the path."""
+    """A configuration is invalid; the message names the path."""
 
 
 class TargetItem(_base.Model):
     """A replica of a service."""
 
     name: _base.Name
-    """Unique name."""
+    """Unique name of the target."""
 
     hall: _base.Name
-    """Data hall that it stands in."""
+    """Data hall of the target."""
 
     host: str = "127.0.0.1"
     """IP address."""
@@ -39,30 +39,30 @@
     """TCP port."""
 
     slots: int = pydantic.Field(default=2, ge=1, le=1000)
-    """Requests that it works on at once."""
+    """Maximum number of requests that the target processes at once."""
 
     connections: int = pydantic.Field(default=25, ge=1, le=10000)
-    """Connections that it accepts at once."""
+    """Maximum number of connections that the target accepts at once."""
 
     leaving: bool = False
-    """Whether it is being taken away and must get no new work."""
+    """Whether the target is being removed and must get no new work."""
 
 
 class ServiceItem(_base.Model):
     """A service: replicas that hold the same shards."""
 
     labels: Labels = {}
-    """Labels that selectors group services by."""
+    """Labels by which selectors choose services."""
 
     layouts: dict[_base.Name, list[_base.Name]]
-    """Shard names by layout; `base` is needed."""
+    """Shard names by layout; the layout `base` is required."""
 
     targets: list[TargetItem]
     """The replicas."""
 
     @pydantic.field_validator("layouts")
     @classmethod
-    def _has_base(cls, value: dict[str, list[str]]) -> dict[str, list[str]]:
+    def _validate_layouts(cls, value: dict[str, list[str]]) -> dict[str, list[str]]:
         if catalog.BASE_LAYOUT not in value:
             raise ValueError("the layout 'base' is missing")
         for layout, shards in value.items():
@@ -74,35 +74,35 @@
 
 
 class PolicyItem(_base.Model):
-    """What a selector promises."""
+    """Guarantees and budgets for the queries of a selector."""
 
     min_coverage: float = pydantic.Field(default=1.0, ge=0.0, le=1.0)
-    """Share of shards below which an answer is refused."""
+    """Share of shards, from 0 to 1, below which an answer is refused."""
 
     allows_partial: bool = False
-    """Whether an answer may lack shards."""
+    """Whether answers may lack shards."""
 
     target_latency_ms: float = pydantic.Field(default=500.0, gt=0, le=60000)
-    """Latency that the operators want."""
+    """Latency objective, in milliseconds."""
 
     hedge_budget: float = pydantic.Field(default=0.02, ge=0.0, le=0.5)
-    """Hedges as a share of sub-queries."""
+    """Maximum number of hedges, as a share of sub-queries."""
 
     retry_budget: float = pydantic.Field(default=0.1, ge=0.0, le=1.0)
-    """Retries as a share of sub-queries."""
+    """Maximum number of retries, as a share of sub-queries."""
 
 
 class SelectorItem(_base.Model):
-    """Which queries a group serves, and how."""
+    """Selects the queries that a group of services serves, and how."""
 
     match: Labels = {}
-    """Query fields with the values that they must have; `class` and `workspace` among them."""
+    """Required values of query fields, which include `class` and `workspace`."""
 
     group: Labels = pydantic.Field(min_length=1)
-    """Labels that the group's services carry."""
+    """Labels that the services of the group have."""
 
     policy: PolicyItem = PolicyItem()
-    """What its callers are promised."""
+    """Guarantees and budgets for its queries."""
 
 
 class ClassItem(_base.Model):
@@ -112,7 +112,7 @@
     """Share of the admission queue relative to other classes."""
 
 
-_KINDS: dict[str, type[_base.Model]] = {
+_MODELS_BY_KIND: dict[str, type[_base.Model]] = {
     "service": ServiceItem,
     "selector": SelectorItem,
     "class": ClassItem,
@@ -120,7 +120,7 @@
 
 
 class ConfigurationFile(_base.Model):
-    """What `lineworks-ctl apply` reads: items by kind and name; null deletes one."""
+    """Input of `lineworks-ctl apply`: items by kind and name; null deletes an item."""
 
     services: dict[_base.Name, ServiceItem | None] = {}
     """Services to put or delete."""
@@ -132,10 +132,10 @@
     """Caller classes to put or delete."""
 
     def items(self) -> dict[str, str | None]:
-        """List the items by key.
+        """Return the items by key.
 
         Returns:
-            For each key the item as canonical JSON, or None where it is deleted.
+            The item as canonical JSON for each key, or None if the item is to be deleted.
         """
         kinds = (("service", self.services), ("selector", self.selectors), ("class", self.classes))
         found: dict[str, str | None] = {}
@@ -146,10 +146,10 @@
 
 
 def canonical(value: Any) -> str:
-    """Write a value as JSON that is the same for equal values.
+    """Encode a value as canonical JSON, which is the same for equal values.
 
     Args:
-        value: Anything that JSON can hold.
+        value: A value that can be serialised as JSON.
 
     Returns:
         JSON with sorted keys and no spaces.
@@ -158,16 +158,16 @@
 
 
 def parse_file(text: str | bytes) -> ConfigurationFile:
-    """Read a configuration file.
+    """Parse and validate a configuration file.
 
     Args:
-        text: JSON.
+        text: The file's content, as JSON.
 
     Returns:
-        The checked file.
+        The validated file.
 
     Raises:
-        ConfigurationError: It is not JSON or breaks a rule.
+        ConfigurationError: The file is not JSON or is invalid.
     """
     try:
         return ConfigurationFile.model_validate_json(text)
@@ -176,18 +176,18 @@
 
 
 def build(items: dict[str, str], version: int, digest: str) -> catalog.Catalog:
-    """Build the catalog of a whole configuration and check what spans items.
+    """Build the catalog of a complete configuration and check the rules that span items.
 
     Args:
         items: All items as JSON, by key.
         version: Number of the last change.
-        digest: Digest of the chain of changes.
+        digest: Digest over the chain of changes.
 
     Returns:
         The catalog.
 
     Raises:
-        ConfigurationError: An item breaks a rule, a target or shard name is used twice, or two
+        ConfigurationError: An item is invalid, a target or shard name is used twice, or two
             selectors are ambiguous.
     """
     parsed = {key: _parse_item(key, text) for key, text in items.items()}
@@ -201,13 +201,13 @@
         for key, item in sorted(parsed.items())
         if isinstance(item, SelectorItem)
     )
-    _check_names(services)
+    _check_unique_names(services)
     _check_ambiguity(found)
     return catalog.Catalog(version, digest, services, found)
 
 
 def class_weights(items: dict[str, str]) -> dict[str, float]:
-    """Read the admission weights.
+    """Return the admission weights.
 
     Args:
         items: All items as JSON, by key.
@@ -225,7 +225,7 @@
 
 def _parse_item(key: str, text: str) -> _base.Model:
     kind, _, name = key.partition("/")
-    model = _KINDS.get(kind)
+    model = _MODELS_BY_KIND.get(kind)
     if model is None or not name:
         raise ConfigurationError(f"{key}: unknown kind of item")
     try:
@@ -263,7 +263,7 @@
     return catalog.Selector(name, dict(item.match), dict(item.group), policy)
 
 
-def _check_names(services: dict[str, catalog.Service]) -> None:
+def _check_unique_names(services: dict[str, catalog.Service]) -> None:
     targets: dict[str, str] = {}
     shards: dict[tuple[str, str], str] = {}
     for name, service in services.items():
--- a/src/lineworks/models/member.py
+++ b/src/lineworks/models/member.py
@@ -1,4 +1,4 @@
-"""An instance as the membership list knows it."""
+"""Entry of the membership list."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """An entry of the membership list."""
+    """An instance in the membership list."""
 
     name: str
     """Name of the instance."""
 
     hall: str
-    """Its data hall."""
+    """Data hall of the instance."""
 
     host: str
     """IP address of its peer endpoint."""
@@ -22,7 +22,7 @@
     """TCP port of its peer endpoint."""
 
     incarnation: str
-    """Identity of its process."""
+    """Identity of the instance's process; differs after each start."""
 
     is_leaving: bool
-    """Whether it takes no new work."""
+    """Whether the instance is leaving and takes no new work."""
--- a/src/lineworks/models/node_settings.py
+++ b/src/lineworks/models/node_settings.py
@@ -1,4 +1,4 @@
-"""What a process learns before it starts, in the product's own words."""
+"""Settings of a process, in the product's own types."""
 
 from __future__ import annotations
 
@@ -26,52 +26,53 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Settings of one process on the users' machines."""
+    """Settings of one process of the production program."""
 
     name: str
     """Unique name of the instance."""
 
     hall: str
-    """Data hall that it stands in."""
+    """Data hall of the instance."""
 
     region: str
-    """Region of the hall."""
+    """Region of the data hall."""
 
     regions: Mapping[str, str]
-    """For each hall of the deployment, its region."""
+    """Region of each data hall of the deployment."""
 
     callers: Address
-    """Where callers connect."""
+    """Address on which callers connect."""
 
     readiness: Address
-    """Where the balancer asks whether the instance takes new connections."""
+    """Address at which the load balancer checks whether the instance takes new connections."""
 
     peers: Address
-    """Where other instances connect."""
+    """Address on which other instances connect."""
 
     metrics: Address
-    """Where metrics are served."""
+    """Address that serves metrics."""
 
     store: Address
-    """The platform's store."""
+    """Address of the platform's store."""
 
     allowance: extra_attempts.Allowance
-    """Attempts beyond the first that a service may get from all instances together."""
+    """Limit on attempts beyond the first that all instances together may send to a service."""
 
     stop_seconds: float
-    """Seconds from SIGTERM until the platform kills the process."""
+    """Seconds between SIGTERM and the platform's killing the process."""
 
     cold_bound: cold_targets.ColdBound = cold_targets.ColdBound()
-    """What cold targets may get from all instances together."""
+    """Limit on requests that all instances together may send to cold targets."""
 
     quota_bound: quota.QuotaBound = quota.QuotaBound()
-    """What all instances together may let through beyond a workspace's quota."""
+    """Limit on requests that all instances together may admit beyond a workspace's quota."""
 
     revocation: access.RevocationPolicy = access.RevocationPolicy()
-    """What holds for keys that were taken away while the instance heard nothing."""
+    """Handling of API keys that may have been revoked while the instance had no contact with the
+    store."""
 
     gather_rate: float = 0.0
-    """Shards a second that the instance can ask for others; 0 where that is not known."""
+    """Shards per second that the instance can query for other instances; 0 if not known."""
 
     without: frozenset[mechanisms.Mechanism] = frozenset()
-    """Mechanisms that are switched off, to measure what they are worth."""
+    """Mechanisms that are disabled, to measure their benefit."""
--- a/src/lineworks/models/settings.py
+++ b/src/lineworks/models/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance, read from a JSON file."""
+"""Settings of an instance, which are read from a JSON file."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class SettingsError(Exception):
-    """A settings file cannot be used; the message is one line that names the key."""
+    """A settings file is invalid; the message is one line that names the key."""
 
 
 class Endpoint(_base.Model):
-    """Where to listen."""
+    """Address to listen on."""
 
     host: str = "127.0.0.1"
     """IP address."""
 
     port: _base.Port = 0
-    """TCP port; 0 lets the system choose."""
+    """TCP port; 0 lets the operating system choose one."""
 
 
 class Seed(_base.Model):
-    """A peer that is known without the platform."""
+    """A peer that an instance can contact without the platform's membership list."""
 
     name: _base.Name
     """Name of the instance."""
 
     hall: _base.Name
-    """Its data hall."""
+    """Data hall of the instance."""
 
     host: str
     """IP address of its peer endpoint."""
@@ -42,67 +42,67 @@
 
 
 class Platform(_base.Model):
-    """How to reach the platform."""
+    """Connection settings of the platform's store."""
 
     url: str = pydantic.Field(pattern=r"^http://[\w.\-]+(:\d{1,5})?$")
     """Base URL of the store."""
 
     timeout_ms: int = pydantic.Field(default=2000, ge=10, le=60000)
-    """Milliseconds to wait for a reply."""
+    """Timeout for a reply, in milliseconds."""
 
     @property
     def address(self) -> node_settings.Address:
-        """Host and port of the URL; port 80 where it names none."""
+        """Host and port of the URL; the port is 80 by default."""
         host, _, port = self.url.removeprefix("http://").partition(":")
         return node_settings.Address(host, int(port or "80"))
 
 
 class Settings(_base.Model):
-    """Everything that an instance learns before it starts."""
+    """Contents of the settings file."""
 
     name: _base.Name
     """Unique name of the instance."""
 
     hall: _base.Name
-    """Data hall that it stands in."""
+    """Data hall of the instance."""
 
     roles: tuple[Literal["front", "gather"], ...] = pydantic.Field(
         default=("front", "gather"), min_length=1
     )
-    """What it does."""
+    """Roles of the instance: accepting searches, gathering sub-queries, or both."""
 
     caller: Endpoint = Endpoint()
-    """Where callers connect."""
+    """Address on which callers connect."""
 
     operator: Endpoint = Endpoint()
-    """Where operators and the metrics collector connect."""
+    """Address on which operators and the metrics collector connect."""
 
     peer: Endpoint = Endpoint()
-    """Where other instances connect."""
+    """Address on which other instances connect."""
 
     platform: Platform
-    """The platform."""
+    """How to reach the platform."""
 
     seeds: tuple[Seed, ...] = ()
-    """Peers to ask when the platform is down."""
+    """Peers to contact if the platform is down."""
 
     hall_delay_ms: dict[_base.Name, float] = {}
-    """One-way milliseconds from here to other halls; a hall not named counts as 10."""
+    """One-way network delay to other data halls, in milliseconds; 10 for halls not listed."""
 
     secret_file: str | None = None
-    """File that holds the secret shared by instances and operators; it is needed."""
+    """File with the secret shared by instances and operators; this or `secret` is required."""
 
     secret: pydantic.SecretStr | None = None
-    """The secret itself, where no file is given."""
+    """The secret itself, if no file is given."""
 
     max_body_bytes: int = pydantic.Field(default=256 * 1024, ge=1, le=2 * 1024 * 1024)
-    """Largest request body taken from a caller."""
+    """Maximum size of a caller's request body, in bytes."""
 
     log_level: Literal["debug", "info", "warning", "error"] = "info"
-    """Least level that is logged."""
+    """Minimum level of log lines."""
 
     @pydantic.model_validator(mode="after")
-    def _has_one_secret(self) -> Settings:
+    def _validate_secret(self) -> Settings:
         if (self.secret is None) == (self.secret_file is None):
             raise ValueError("give exactly one of secret and secret_file")
         return self
@@ -114,7 +114,7 @@
             The secret.
 
         Raises:
-            SettingsError: Its file cannot be read.
+            SettingsError: The secret's file cannot be read.
         """
         if self.secret is not None:
             return self.secret.get_secret_value().encode()
@@ -125,16 +125,16 @@
 
 
 def load(path: str) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Args:
-        path: The file.
+        path: Path of the file.
 
     Returns:
         The settings.
 
     Raises:
-        SettingsError: The file cannot be read, is not JSON, or breaks a rule.
+        SettingsError: The file cannot be read, is not JSON, or is invalid.
     """
     try:
         text = pathlib.Path(path).read_text()
@@ -144,7 +144,7 @@
     except ValueError as error:
         raise SettingsError(f"{path}: not JSON: {error}") from error
     try:
-        # From the text, since strict validation takes lists for tuples only from JSON.
+        # Validated from the text: strict validation accepts lists as tuples only in JSON input.
         return Settings.model_validate_json(text)
     except pydantic.ValidationError as error:
         raise SettingsError(_base.first_problem(error)) from error
--- a/src/lineworks/models/target_http.py
+++ b/src/lineworks/models/target_http.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of targets: headers of a sub-query, its reply, and the report.
+"""HTTP interface of targets: sub-query headers, reply headers and the status report.
 
 Described for authors of targets in docs/reference/targets.md.
 """
@@ -17,13 +17,13 @@
 """Identity of the attempt."""
 
 SHARD = "Lineworks-Shard"
-"""The shard wanted."""
+"""Shard to query."""
 
 SNAPSHOT = "Lineworks-Snapshot"
-"""In a request the snapshot wanted, in a reply the one answered from."""
+"""In a request, the snapshot to read; in a reply, the snapshot that was read."""
 
 REMAINING = "Lineworks-Remaining-Ms"
-"""Milliseconds left until the reply is of no use."""
+"""Time after which the reply is no longer useful, in milliseconds."""
 
 LOAD = "Lineworks-Load"
 """`busy,queue`: slots in use and requests waiting."""
@@ -32,15 +32,16 @@
 """`serving`, `cold` or `leaving`."""
 
 HOLDS = "Lineworks-Holds"
-"""Snapshots held, joined by commas."""
+"""Snapshots that the target holds, separated by commas."""
 
 INCARNATION = "Lineworks-Incarnation"
 """Identity of the target's process."""
 
 NOT_RUN = "Lineworks-Not-Run"
-"""Says that the request was not run, with the reason: overloaded, leaving, snapshot, cancelled."""
+"""States that the request was not run; the value is the reason: `overloaded`, `leaving`,
+`snapshot`, `cancelled` or `deadline`."""
 
-_REFUSALS = {
+_REASON_BY_REFUSAL = {
     "overloaded": verdict.Reason.OVERLOADED,
     "leaving": verdict.Reason.LEAVING,
     "snapshot": verdict.Reason.SNAPSHOT_GONE,
@@ -50,15 +51,15 @@
 
 
 class MalformedReplyError(ValueError):
-    """A target's reply breaks the interface."""
+    """A target's reply does not conform to the interface."""
 
 
 def request_headers(attempt: ports.Attempt, remaining: float) -> dict[str, str]:
-    """Write the headers of a sub-query.
+    """Build the headers of a sub-query.
 
     Args:
         attempt: The attempt.
-        remaining: Seconds left.
+        remaining: Time left, in seconds.
 
     Returns:
         Headers by name.
@@ -75,15 +76,15 @@
 
 
 def read_outcome(status: int, headers: Mapping[str, str], body: bytes) -> ports.Outcome:
-    """Read a target's reply to a sub-query.
+    """Interpret a target's reply to a sub-query.
 
     Args:
         status: HTTP status.
-        headers: Reply headers by name in title case.
+        headers: Reply headers by name, in title case.
         body: Reply body.
 
     Returns:
-        The outcome. A refusal is NOT_RUN only where the target says so itself.
+        The outcome. It is NOT_RUN only if the target states that it did not run the request.
     """
     try:
         report = _read_report_headers(headers)
@@ -92,7 +93,7 @@
         return ports.Outcome(verdict.may_have_run(verdict.Reason.FAILED, str(error)))
     refusal = headers.get(NOT_RUN)
     if refusal is not None:
-        reason = _REFUSALS.get(refusal, verdict.Reason.OVERLOADED)
+        reason = _REASON_BY_REFUSAL.get(refusal, verdict.Reason.OVERLOADED)
         return ports.Outcome(verdict.not_run(reason, "the target refused"), None, b"", report)
     if status == 200:
         return ports.Outcome(verdict.OK, snapshot, body, report)
@@ -101,7 +102,7 @@
 
 
 def report_headers(report: replicas.StatusReport) -> dict[str, str]:
-    """Write a report as reply headers, as a target does.
+    """Encode a status report as reply headers, as a target does.
 
     Args:
         report: The report.
@@ -118,7 +119,7 @@
 
 
 def state_name(report: replicas.StatusReport) -> str:
-    """Name the state that a report tells.
+    """Return the name of the state in a report.
 
     Args:
         report: The report.
@@ -132,7 +133,7 @@
 
 
 def parse_report(document: Any) -> replicas.StatusReport:
-    """Read the body of `GET /v1/report`.
+    """Decode the body of `GET /v1/report`.
 
     Args:
         document: The parsed JSON.
@@ -141,7 +142,7 @@
         The report.
 
     Raises:
-        MalformedReplyError: A key is missing or wrong.
+        MalformedReplyError: A key is missing or invalid.
     """
     try:
         return replicas.StatusReport(
--- a/src/lineworks/platform/store.py
+++ b/src/lineworks/platform/store.py
@@ -249,7 +249,7 @@
         _expect_ok("write", answer)
         eras = [position.era for position in known] + [lease.era for lease in leases]
         if any(era != answer.era for era in eras):
-            # The store compared numbers of its new era, which may belong to other changes or leases.
+            # The store compared numbers of its new era, which may denote other changes or leases.
             raise StoreUnsureError("write: the store came back from an older copy")
         revision = _decode_document(lambda: _fields.Fields(answer.document).integer("Revision"))
         return positions.Position(answer.era, revision)
