--- a/src/lineworks/platform/_store_connections.py
+++ b/src/lineworks/platform/_store_connections.py
@@ -67,10 +67,12 @@
         Raises:
             ConnectError: No connection could be opened.
         """
-        end: client_connection.Response | client_connection.ConnectionFailure = await _ResentRead(
+        outcome: (
+            client_connection.Response | client_connection.ConnectionFailure
+        ) = await _ResentRead(
             self._reactor, functools.partial(self.exchange, data), timeout, on_sent
         ).start()
-        return end
+        return outcome
 
     async def exchange(
         self, data: bytes, timeout: float, discard_idle: bool = False
@@ -92,11 +94,15 @@
         if discard_idle:
             self.close()
         connection = await self._connect()
-        ended: defer.Deferred[Any] = defer.Deferred()
-        timer = self._reactor.callLater(timeout, _on_timeout, connection, ended)
-        connection.send(data, False, lambda end: None if ended.called else ended.callback(end))
+        completed: defer.Deferred[Any] = defer.Deferred()
+        timer = self._reactor.callLater(timeout, _on_timeout, connection, completed)
+        connection.send(
+            data, False, lambda outcome: None if completed.called else completed.callback(outcome)
+        )
         try:
-            end: client_connection.Response | client_connection.ConnectionFailure = await ended
+            outcome: (
+                client_connection.Response | client_connection.ConnectionFailure
+            ) = await completed
         except defer.CancelledError:
             connection.abort()
             raise
@@ -105,7 +111,7 @@
                 timer.cancel()
         if not connection.is_closed:
             self._idle.append(connection)
-        return end
+        return outcome
 
     async def _connect(self) -> _StoreConnection:
         now = self._reactor.seconds()
@@ -140,11 +146,11 @@
         self._exchange = exchange
         self._deadline = reactor.seconds() + timeout
         self._on_sent = on_sent
-        self._running: list[defer.Deferred[Any]] = []
-        self._timer: Any = None
-        self._limit: Any = None
+        self._exchanges: list[defer.Deferred[Any]] = []
+        self._resend_timer: Any = None
+        self._deadline_timer: Any = None
         self._is_over = False
-        self._ended: defer.Deferred[Any] = defer.Deferred(lambda _: self._stop())
+        self._completed: defer.Deferred[Any] = defer.Deferred(lambda _: self._stop())
 
     def start(self) -> defer.Deferred[Any]:
         """Send the request for the first time.
@@ -152,40 +158,40 @@
         Returns:
             A deferred that fires with the answer or the failure; cancelling it ends the read.
         """
-        left = self._deadline - self._reactor.seconds()
-        self._limit = self._reactor.callLater(left, self._on_deadline)
+        remaining = self._deadline - self._reactor.seconds()
+        self._deadline_timer = self._reactor.callLater(remaining, self._on_deadline)
         self._send(discard_idle=False)
-        return self._ended
+        return self._completed
 
     def _send(self, discard_idle: bool) -> None:
-        left = self._deadline - self._reactor.seconds()
-        if left > RESEND_SECONDS:
-            self._timer = self._reactor.callLater(RESEND_SECONDS, self._send, True)
+        remaining = self._deadline - self._reactor.seconds()
+        if remaining > RESEND_SECONDS:
+            self._resend_timer = self._reactor.callLater(RESEND_SECONDS, self._send, True)
         self._on_sent()
-        running = defer.ensureDeferred(self._exchange(left, discard_idle))
-        self._running.append(running)
-        running.addBoth(self._on_end, running)
-
-    def _on_end(self, end: Any, running: defer.Deferred[Any]) -> None:
-        if running in self._running:
-            self._running.remove(running)
-        is_answer = isinstance(end, client_connection.Response)
-        if self._is_over or (self._running and not is_answer):
+        running = defer.ensureDeferred(self._exchange(remaining, discard_idle))
+        self._exchanges.append(running)
+        running.addBoth(self._on_outcome, running)
+
+    def _on_outcome(self, outcome: Any, running: defer.Deferred[Any]) -> None:
+        if running in self._exchanges:
+            self._exchanges.remove(running)
+        is_answer = isinstance(outcome, client_connection.Response)
+        if self._is_over or (self._exchanges and not is_answer):
             return
         self._stop()
-        self._ended.callback(end)
+        self._completed.callback(outcome)
 
     def _on_deadline(self) -> None:
         """End the read, even if a connection is still being opened."""
         self._stop()
-        self._ended.callback(client_connection.ConnectionFailure("no answer in time", False))
+        self._completed.callback(client_connection.ConnectionFailure("no answer in time", False))
 
     def _stop(self) -> None:
         self._is_over = True
-        for timer in (self._timer, self._limit):
+        for timer in (self._resend_timer, self._deadline_timer):
             if timer is not None and timer.active():
                 timer.cancel()
-        running, self._running = self._running, []
+        running, self._exchanges = self._exchanges, []
         for other in running:
             other.cancel()
 
@@ -221,6 +227,6 @@
         self._opened.callback(type(reason.value).__name__)
 
 
-def _on_timeout(connection: _StoreConnection, ended: defer.Deferred[Any]) -> None:
+def _on_timeout(connection: _StoreConnection, completed: defer.Deferred[Any]) -> None:
     connection.abort()
-    ended.callback(client_connection.ConnectionFailure("no answer in time", False))
+    completed.callback(client_connection.ConnectionFailure("no answer in time", False))
--- a/src/lineworks/platform/configuration.py
+++ b/src/lineworks/platform/configuration.py
@@ -34,7 +34,7 @@
         raise ConfigurationError(str(error)) from error
 
 
-def _decode(found: _fields.Fields) -> routes.RouteTable:
+def _decode(document: _fields.Fields) -> routes.RouteTable:
     services = [
         routes.ServiceSpec(
             item.text("Name"),
@@ -42,27 +42,27 @@
             item.number("WarmupS", 0.0),
             item.number("WarmupPerS", 0.0),
         )
-        for item in found.tables("Services")
+        for item in document.tables("Services")
     ]
-    listed = [_route(item) for item in found.tables("Routing")]
-    limits = _limits(found.table("Limits")) if "Limits" in found else routes.CallerLimits()
+    listed = [_route(item) for item in document.tables("Routing")]
+    limits = _limits(document.table("Limits")) if "Limits" in document else routes.CallerLimits()
     return routes.RouteTable(
-        found.integer("ConfigVersion"),
+        document.integer("ConfigVersion"),
         listed,
         services,
         limits,
-        workspaces.Workspaces(_workspaces(found.redacted())),
+        workspaces.Workspaces(_workspaces(document.redacted())),
     )
 
 
-def _workspaces(found: _fields.Fields) -> list[tuple[workspaces.Workspace, list[str]]]:
+def _workspaces(document: _fields.Fields) -> list[tuple[workspaces.Workspace, list[str]]]:
     """Read the workspaces, each with its API keys."""
     names: set[str] = set()
     keys: set[str] = set()
     listed = []
-    for index, item in enumerate(found.tables("Tenants")):
+    for index, item in enumerate(document.tables("Tenants")):
         workspace = _workspace(item)
-        path = found.item_path("Tenants", index)
+        path = document.item_path("Tenants", index)
         if not _is_header_value(workspace.name):
             raise _fields.DocumentError(f"{path}.Name: cannot stand in a header")
         if workspace.name in names:
--- a/src/lineworks/platform/headers.py
+++ b/src/lineworks/platform/headers.py
@@ -137,17 +137,17 @@
     return f"X-Time-Budget: {max(1, int(seconds * 1000))}\r\n{_EXPECT}: {target}\r\n".encode()
 
 
-def is_not_run(status: int, found: Mapping[bytes, bytes]) -> bool:
+def is_not_run(status: int, headers: Mapping[bytes, bytes]) -> bool:
     """Return whether a target states that it did not run the request.
 
     Args:
         status: HTTP status of its answer.
-        found: Headers of its answer.
+        headers: Headers of its answer.
 
     Returns:
         True if it is certain that the request has not run there and will not.
     """
-    return status == _WRONG_INSTANCE_STATUS or _NOT_RUN in found
+    return status == _WRONG_INSTANCE_STATUS or _NOT_RUN in headers
 
 
 def is_wrong_instance(status: int) -> bool:
@@ -160,28 +160,28 @@
     return status in _NOT_RUN_STATUSES
 
 
-def read_stamp(found: Mapping[bytes, bytes]) -> str:
+def read_stamp(headers: Mapping[bytes, bytes]) -> str:
     """Read the target's signature of its answer.
 
     Args:
-        found: Headers of the answer.
+        headers: Headers of the answer.
 
     Returns:
         The signature, or an empty string if there is none.
     """
-    return found.get(_STAMP, b"").decode("latin-1")
+    return headers.get(_STAMP, b"").decode("latin-1")
 
 
-def read_load(found: Mapping[bytes, bytes]) -> LoadReport | None:
+def read_load(headers: Mapping[bytes, bytes]) -> LoadReport | None:
     """Read a target's report of its load.
 
     Args:
-        found: Headers of the answer.
+        headers: Headers of the answer.
 
     Returns:
         The report, or None if it is missing or malformed.
     """
-    value = found.get(_LOAD)
+    value = headers.get(_LOAD)
     if value is None:
         return None
     # Most targets send a few distinct values over and over, so parsed ones are cached.
@@ -202,17 +202,17 @@
 _cached_load = functools.lru_cache(_LOAD_CACHE_ENTRIES)(_parse_load)
 
 
-def read_cold_seconds(found: Mapping[bytes, bytes]) -> float | None:
+def read_cold_seconds(headers: Mapping[bytes, bytes]) -> float | None:
     """Read how much longer a target will be cold.
 
     Args:
-        found: Headers of its answer.
+        headers: Headers of its answer.
 
     Returns:
         Seconds, at most 600, and 0 for a warm target; None if the header is missing or not an
         integer.
     """
-    value = found.get(_COLD)
+    value = headers.get(_COLD)
     left = None if value is None else _parse_integer([value], 0)
     return None if left is None else min(left, _MAX_BUDGET_MS) / 1000
 
--- a/src/lineworks/platform/settings.py
+++ b/src/lineworks/platform/settings.py
@@ -89,15 +89,15 @@
         raise SettingsError(f"(document): {str(error).splitlines()[0]}") from error
 
 
-def _decode(found: _fields.Fields) -> node_settings.NodeSettings:
-    host = found.text("Ip")
-    listen = found.table("ListenAddrs")
-    ports = found.items("PortRange")
+def _decode(document: _fields.Fields) -> node_settings.NodeSettings:
+    host = document.text("Ip")
+    listen = document.table("ListenAddrs")
+    ports = document.items("PortRange")
     if len(ports) != 2 or not all(isinstance(port, int) for port in ports):
         raise _fields.DocumentError("PortRange: expected the first and the last port")
     if ports[0] + METRICS_PORT > ports[1]:
         raise _fields.DocumentError("PortRange: expected at least two ports")
-    bounds = found.table("TimingBounds")
+    bounds = document.table("TimingBounds")
     allowance = extra_attempts.Allowance(
         bounds.number("RetryRatio", 0.0),
         bounds.number("RetrySlack", 0.0),
@@ -106,26 +106,26 @@
     cold_bound = cold_targets.ColdBound(
         bounds.number("WarmupExcess", 1.0), bounds.number("WarmupSlack", 0.0)
     )
-    hall = found.text("Zone")
-    halls = found.table("Zones")
+    hall = document.text("Zone")
+    halls = document.table("Zones")
     regions = {name: halls.text(name) for name in halls.names}
     return node_settings.NodeSettings(
-        name=found.text("NodeName"),
+        name=document.text("NodeName"),
         hall=hall,
-        region=found.text("Region"),
-        regions={hall: found.text("Region"), **regions},
+        region=document.text("Region"),
+        regions={hall: document.text("Region"), **regions},
         callers=node_settings.Address(*listen.address("Front")),
         readiness=node_settings.Address(*listen.address("Ready")),
         peers=node_settings.Address(host, ports[0] + PEER_PORT),
         metrics=node_settings.Address(host, ports[0] + METRICS_PORT),
-        store=node_settings.Address(*found.table("platform").address("Address")),
+        store=node_settings.Address(*document.table("platform").address("Address")),
         allowance=allowance,
         cold_bound=cold_bound,
         quota_bound=_quota_bound(bounds),
         revocation=_revocation(bounds),
         stop_seconds=bounds.number("GraceS", 6.0, minimum=1.0),
-        gather_rate=_gather_rate(found.table("Limits"))
-        if "Limits" in found
+        gather_rate=_gather_rate(document.table("Limits"))
+        if "Limits" in document
         else gather_rate.UNKNOWN,
     )
 
--- a/src/lineworks/platform/standins/store_rollback.py
+++ b/src/lineworks/platform/standins/store_rollback.py
@@ -90,11 +90,11 @@
 
     def _restore_external(self, copied: int) -> None:
         """Restore keys of operators and targets unless they were written since the rollback."""
-        held, self._external_before = self._external_before, {}
+        saved, self._external_before = self._external_before, {}
         present = self._external_items()
         written = {change.key for change in self._model.changes("", copied)}
-        for key, value in held.items():
+        for key, value in saved.items():
             if key not in written and present.get(key) != value:
                 self._model.write(key, value)
-        for key in present.keys() - held.keys() - written:
+        for key in present.keys() - saved.keys() - written:
             self._model.remove(key)
--- a/src/lineworks/platform/store.py
+++ b/src/lineworks/platform/store.py
@@ -338,21 +338,21 @@
     async def _answer(self, kind: str, call: Awaitable[Any]) -> _Answer:
         """Wait for a call and decode its answer."""
         try:
-            end = await call
+            outcome = await call
         except _store_connections.ConnectError as error:
             raise StoreError(f"{kind}: {error}") from error
-        if isinstance(end, client_connection.ConnectionFailure):
-            raise StoreUnsureError(f"{kind}: {end.detail}")
-        era = _era_of(end)
+        if isinstance(outcome, client_connection.ConnectionFailure):
+            raise StoreUnsureError(f"{kind}: {outcome.detail}")
+        era = _era_of(outcome)
         self.era.learn(era)
         if era < self.era.value:
             raise StoreUnsureError(f"{kind}: an answer from before the store's return")
-        if end.status == 429:
+        if outcome.status == 429:
             raise StoreBusyError(f"{kind}: refused with 429")
-        if end.status == 503:
+        if outcome.status == 503:
             raise StoreError(f"{kind}: refused with 503")
         try:
-            return _Answer(end.status, json.loads(end.body) if end.body else {}, era)
+            return _Answer(outcome.status, json.loads(outcome.body) if outcome.body else {}, era)
         except ValueError as error:
             raise StoreUnsureError(f"{kind}: the answer is no JSON") from error
 
--- a/src/lineworks/platform/target_entries.py
+++ b/src/lineworks/platform/target_entries.py
@@ -45,31 +45,31 @@
         raise EntryError(f"{ascii(key)[1:-1][:MAX_KEY_CHARACTERS]}: {error}") from error
 
 
-def _decode(identity: str, found: _fields.Fields) -> target_view.TargetEntry:
+def _decode(identity: str, document: _fields.Fields) -> target_view.TargetEntry:
     if not _is_token(identity):
         raise _fields.DocumentError("the key names no identity that a header can carry")
-    state = found.text("State")
+    state = document.text("State")
     if state not in _STATES:
         raise _fields.DocumentError(f"State: expected one of {_STATES}")
     # Unused fields, but an entry without them was not written by a target.
-    found.text("ConfigVersion")
-    found.integer("CallSeq")
-    host, port = found.address("Address")
+    document.text("ConfigVersion")
+    document.integer("CallSeq")
+    host, port = document.address("Address")
     if not _is_ip(host):
         raise _fields.DocumentError("Address: expected an IP address")
     return target_view.TargetEntry(
         id=identity,
-        service=found.text("Service"),
-        hall=found.text("Zone"),
+        service=document.text("Service"),
+        hall=document.text("Zone"),
         host=host,
         port=port,
         # Requests processed at a time; the target has a short queue besides.
-        slots=found.integer("Capacity", minimum=1),
+        slots=document.integer("Capacity", minimum=1),
         is_leaving=state == _LEAVING,
         # Time left in the slow phase after a start.
-        is_cold=found.number("WarmupLeftMs") > 0,
+        is_cold=document.number("WarmupLeftMs") > 0,
         # Older targets don't report when they started.
-        born=found.integer(_STARTED_AT) if _STARTED_AT in found.names else 0,
+        born=document.integer(_STARTED_AT) if _STARTED_AT in document.names else 0,
     )
 
 
