--- a/src/lineworks/platform/_store_connections.py
+++ b/src/lineworks/platform/_store_connections.py
@@ -1,7 +1,7 @@
-"""Connections to the platform's store: kept for the next call, one request at a time on each.
+"""Persistent connections to the platform's store, each with one request at a time.
 
-A read that gets no answer is sent again on a new connection, beside the one that waits: a lost
-answer never comes, and a connection that went silent shows nothing else.
+A read without an answer is sent again on a new connection while the first one still waits: a lost
+answer never arrives, and a connection that has gone silent gives no other sign.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
     from lineworks.models import node_settings
 
 CONNECT_SECONDS = 1.0
-"""Seconds to wait for a connection."""
+"""Timeout for opening a connection, in seconds."""
 
-REPEAT_SECONDS = 0.2
-"""Seconds without an answer after which a read is sent again: fifty times what the store usually
-takes, and a fifteenth of the time in which a change must be in force. An instance that starts
-beside a silent store asks again within that time of the store's return."""
+RESEND_SECONDS = 0.2
+"""Seconds without an answer after which a read is sent again. This is 50 times the usual response
+time of the store, and a fifteenth of the time within which a change must take effect. It also
+bounds how long after a silent store's return a starting instance asks again."""
 
 
 class ConnectError(Exception):
-    """No connection could be opened, so nothing was sent."""
+    """No connection could be opened, so the request was not sent."""
 
 
 class StoreConnections:
-    """The connections of one client."""
+    """Pool of connections of one store client."""
 
     def __init__(self, reactor: Any, address: node_settings.Address) -> None:
-        """Start without connections.
+        """Create an empty pool.
 
         Args:
             reactor: Twisted's reactor.
-            address: Where the store is.
+            address: Address of the store.
         """
         self._reactor = reactor
         self._address = address
@@ -54,48 +54,55 @@
     async def read(
         self, data: bytes, timeout: float, on_sent: Callable[[], None]
     ) -> client_connection.Response | client_connection.ConnectionFailure:
-        """Send a request that changes nothing, again and again until an answer comes.
+        """Send a read-only request, and resend it at intervals until an answer arrives.
 
         Args:
-            data: The request.
-            timeout: Seconds to wait for the answer.
-            on_sent: Called each time that the request is sent.
+            data: The encoded request.
+            timeout: Seconds to wait for an answer.
+            on_sent: Called each time the request is sent.
 
         Returns:
-            The first answer, or how the last connection broke off.
+            The first answer, or the failure of the last connection.
 
         Raises:
-            ConnectError: There is no connection.
+            ConnectError: No connection could be opened.
         """
-        end: client_connection.Response | client_connection.ConnectionFailure = await _RepeatedRead(
+        outcome: (
+            client_connection.Response | client_connection.ConnectionFailure
+        ) = await _ResentRead(
             self._reactor, functools.partial(self.exchange, data), timeout, on_sent
         ).start()
-        return end
+        return outcome
 
     async def exchange(
-        self, data: bytes, timeout: float, is_new: bool = False
+        self, data: bytes, timeout: float, discard_idle: bool = False
     ) -> client_connection.Response | client_connection.ConnectionFailure:
         """Send a request and wait for its answer.
 
         Args:
-            data: The request.
+            data: The encoded request.
             timeout: Seconds to wait for the answer.
-            is_new: Whether the kept connections are not to be trusted.
+            discard_idle: Whether to close the idle connections, which may be dead, and open a new
+                one.
 
         Returns:
-            The answer, or how the connection broke off before it was whole.
+            The answer, or the failure that ended the connection before the answer was complete.
 
         Raises:
-            ConnectError: There is no connection.
+            ConnectError: No connection could be opened.
         """
-        if is_new:
+        if discard_idle:
             self.close()
         connection = await self._connect()
-        ended: defer.Deferred[Any] = defer.Deferred()
-        timer = self._reactor.callLater(timeout, _give_up, connection, ended)
-        connection.send(data, False, lambda end: None if ended.called else ended.callback(end))
+        completed: defer.Deferred[Any] = defer.Deferred()
+        timer = self._reactor.callLater(timeout, _on_timeout, connection, completed)
+        connection.send(
+            data, False, lambda outcome: None if completed.called else completed.callback(outcome)
+        )
         try:
-            end: client_connection.Response | client_connection.ConnectionFailure = await ended
+            outcome: (
+                client_connection.Response | client_connection.ConnectionFailure
+            ) = await completed
         except defer.CancelledError:
             connection.abort()
             raise
@@ -104,7 +111,7 @@
                 timer.cancel()
         if not connection.is_closed:
             self._idle.append(connection)
-        return end
+        return outcome
 
     async def _connect(self) -> _StoreConnection:
         now = self._reactor.seconds()
@@ -125,8 +132,8 @@
         return connected
 
 
-class _RepeatedRead:
-    """One read under way on several connections."""
+class _ResentRead:
+    """A read that may be in progress on several connections at once."""
 
     def __init__(
         self,
@@ -139,71 +146,71 @@
         self._exchange = exchange
         self._deadline = reactor.seconds() + timeout
         self._on_sent = on_sent
-        self._running: list[defer.Deferred[Any]] = []
-        self._timer: Any = None
-        self._limit: Any = None
+        self._exchanges: list[defer.Deferred[Any]] = []
+        self._resend_timer: Any = None
+        self._deadline_timer: Any = None
         self._is_over = False
-        self._ended: defer.Deferred[Any] = defer.Deferred(lambda _: self._stop())
+        self._completed: defer.Deferred[Any] = defer.Deferred(lambda _: self._stop())
 
     def start(self) -> defer.Deferred[Any]:
-        """Send it for the first time.
+        """Send the request for the first time.
 
         Returns:
-            A deferred of the answer; cancelling it ends the read.
+            A deferred that fires with the answer or the failure; cancelling it ends the read.
         """
-        left = self._deadline - self._reactor.seconds()
-        self._limit = self._reactor.callLater(left, self._on_deadline)
-        self._send(is_new=False)
-        return self._ended
-
-    def _send(self, is_new: bool) -> None:
-        left = self._deadline - self._reactor.seconds()
-        if left > REPEAT_SECONDS:
-            self._timer = self._reactor.callLater(REPEAT_SECONDS, self._send, True)
+        remaining = self._deadline - self._reactor.seconds()
+        self._deadline_timer = self._reactor.callLater(remaining, self._on_deadline)
+        self._send(discard_idle=False)
+        return self._completed
+
+    def _send(self, discard_idle: bool) -> None:
+        remaining = self._deadline - self._reactor.seconds()
+        if remaining > RESEND_SECONDS:
+            self._resend_timer = self._reactor.callLater(RESEND_SECONDS, self._send, True)
         self._on_sent()
-        running = defer.ensureDeferred(self._exchange(left, is_new))
-        self._running.append(running)
-        running.addBoth(self._on_end, running)
-
-    def _on_end(self, end: Any, running: defer.Deferred[Any]) -> None:
-        if running in self._running:
-            self._running.remove(running)
-        is_answer = isinstance(end, client_connection.Response)
-        if self._is_over or (self._running and not is_answer):
+        running = defer.ensureDeferred(self._exchange(remaining, discard_idle))
+        self._exchanges.append(running)
+        running.addBoth(self._on_outcome, running)
+
+    def _on_outcome(self, outcome: Any, running: defer.Deferred[Any]) -> None:
+        if running in self._exchanges:
+            self._exchanges.remove(running)
+        is_answer = isinstance(outcome, client_connection.Response)
+        if self._is_over or (self._exchanges and not is_answer):
             return
         self._stop()
-        self._ended.callback(end)
+        self._completed.callback(outcome)
 
     def _on_deadline(self) -> None:
-        """End the read; a connection that is still being opened would hold it up."""
+        """End the read, even if a connection is still being opened."""
         self._stop()
-        self._ended.callback(client_connection.ConnectionFailure("no answer in time", False))
+        self._completed.callback(client_connection.ConnectionFailure("no answer in time", False))
 
     def _stop(self) -> None:
         self._is_over = True
-        for timer in (self._timer, self._limit):
+        for timer in (self._resend_timer, self._deadline_timer):
             if timer is not None and timer.active():
                 timer.cancel()
-        running, self._running = self._running, []
+        running, self._exchanges = self._exchanges, []
         for other in running:
             other.cancel()
 
 
 class _StoreConnection(client_connection.ClientConnection):
-    """A connection to the store that reports when it is open."""
+    """Connection to the store that fires a deferred once it is open."""
 
     def __init__(self, reactor: Any, opened: defer.Deferred[Any]) -> None:
         super().__init__(reactor.seconds, lambda connection: None)
         self._opened = opened
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Report that it is open."""
+        """Fire the deferred with this connection."""
         super().connectionMade()
         self._opened.callback(self)
 
 
 class _StoreFactory(protocol.ClientFactory):
-    """Opens one connection."""
+    """Factory for one connection."""
 
     noisy = False
 
@@ -212,14 +219,14 @@
         self._opened = opened
 
     def buildProtocol(self, addr: Any) -> _StoreConnection:  # noqa: N802
-        """Make the connection's end."""
+        """Create the protocol of the connection."""
         return _StoreConnection(self._reactor, self._opened)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
-        """Report that it could not be opened."""
+        """Fire the deferred with the name of the error."""
         self._opened.callback(type(reason.value).__name__)
 
 
-def _give_up(connection: _StoreConnection, ended: defer.Deferred[Any]) -> None:
+def _on_timeout(connection: _StoreConnection, completed: defer.Deferred[Any]) -> None:
     connection.abort()
-    ended.callback(client_connection.ConnectionFailure("no answer in time", False))
+    completed.callback(client_connection.ConnectionFailure("no answer in time", False))
--- a/src/lineworks/platform/settings.py
+++ b/src/lineworks/platform/settings.py
@@ -1,7 +1,7 @@
-"""The settings file that the platform writes for each process: JSON by our template, or its YAML.
+"""Decoder for the settings file that the platform writes for each process.
 
-The parser of YAML is imported only for a file that is no JSON: it takes a twentieth of the time
-that a process needs to start.
+The file is JSON if written with our template, otherwise YAML. The YAML parser is imported only for
+a file that is not JSON, because the import takes a twentieth of a process's start time.
 """
 
 from __future__ import annotations
@@ -16,33 +16,34 @@
 from lineworks.platform import _fields
 
 VARIABLE = "LINEWORKS_SETTINGS"
-"""Environment variable that holds the path of the settings file."""
+"""Environment variable with the path of the settings file."""
 
 PEER_PORT = 0
-"""Offset in the machine's range of free ports at which instances talk to each other."""
+"""Offset, in the machine's range of free ports, of the port for connections between instances."""
 
 METRICS_PORT = 1
-"""Offset in that range at which metrics are served."""
+"""Offset, in the same range, of the port that serves metrics."""
 
 _MEGABIT = 1_000_000
-"""Bits."""
+"""Bits in a megabit."""
 
 
 class SettingsError(Exception):
-    """The settings cannot be used; the message is one line that names the field."""
+    """The settings are invalid; the message is one line that names the field."""
 
 
 def load(environment: Mapping[str, str] | None = None) -> node_settings.NodeSettings:
     """Read the settings file that the environment names.
 
     Args:
-        environment: Variables; those of the process when not given.
+        environment: Environment variables; those of the process by default.
 
     Returns:
         The settings.
 
     Raises:
-        SettingsError: There is no such file, or a field is missing or wrong.
+        SettingsError: The variable is not set, the file cannot be read, or a field is missing or
+            invalid.
     """
     path = (os.environ if environment is None else environment).get(VARIABLE)
     if not path:
@@ -55,16 +56,16 @@
 
 
 def parse(text: str) -> node_settings.NodeSettings:
-    """Read settings.
+    """Parse settings.
 
     Args:
-        text: The file's text.
+        text: Content of the settings file.
 
     Returns:
         The settings.
 
     Raises:
-        SettingsError: A field is missing or wrong, or the text is neither JSON nor YAML.
+        SettingsError: A field is missing or invalid, or the text is neither JSON nor YAML.
     """
     try:
         return _decode(_fields.Fields(_read_document(text)))
@@ -88,68 +89,69 @@
         raise SettingsError(f"(document): {str(error).splitlines()[0]}") from error
 
 
-def _decode(found: _fields.Fields) -> node_settings.NodeSettings:
-    host = found.text("Ip")
-    listen = found.table("ListenAddrs")
-    ports = found.items("PortRange")
+def _decode(document: _fields.Fields) -> node_settings.NodeSettings:
+    host = document.text("Ip")
+    listen = document.table("ListenAddrs")
+    ports = document.items("PortRange")
     if len(ports) != 2 or not all(isinstance(port, int) for port in ports):
         raise _fields.DocumentError("PortRange: expected the first and the last port")
     if ports[0] + METRICS_PORT > ports[1]:
         raise _fields.DocumentError("PortRange: expected at least two ports")
-    bounds = found.table("TimingBounds")
+    bounds = document.table("TimingBounds")
     allowance = extra_attempts.Allowance(
         bounds.number("RetryRatio", 0.0),
         bounds.number("RetrySlack", 0.0),
-        bounds.number("RetryWindowS", 10.0, least=0.1),
+        bounds.number("RetryWindowS", 10.0, minimum=0.1),
     )
     cold_bound = cold_targets.ColdBound(
         bounds.number("WarmupExcess", 1.0), bounds.number("WarmupSlack", 0.0)
     )
-    hall = found.text("Zone")
-    halls = found.table("Zones")
+    hall = document.text("Zone")
+    halls = document.table("Zones")
     regions = {name: halls.text(name) for name in halls.names}
     return node_settings.NodeSettings(
-        name=found.text("NodeName"),
+        name=document.text("NodeName"),
         hall=hall,
-        region=found.text("Region"),
-        regions={hall: found.text("Region"), **regions},
+        region=document.text("Region"),
+        regions={hall: document.text("Region"), **regions},
         callers=node_settings.Address(*listen.address("Front")),
         readiness=node_settings.Address(*listen.address("Ready")),
         peers=node_settings.Address(host, ports[0] + PEER_PORT),
         metrics=node_settings.Address(host, ports[0] + METRICS_PORT),
-        store=node_settings.Address(*found.table("platform").address("Address")),
+        store=node_settings.Address(*document.table("platform").address("Address")),
         allowance=allowance,
         cold_bound=cold_bound,
         quota_bound=_quota_bound(bounds),
         revocation=_revocation(bounds),
-        stop_seconds=bounds.number("GraceS", 6.0, least=1.0),
-        gather_rate=_gather_rate(found.table("Limits"))
-        if "Limits" in found
+        stop_seconds=bounds.number("GraceS", 6.0, minimum=1.0),
+        gather_rate=_gather_rate(document.table("Limits"))
+        if "Limits" in document
         else gather_rate.UNKNOWN,
     )
 
 
 def _quota_bound(bounds: _fields.Fields) -> quota.QuotaBound:
-    usual = quota.QuotaBound()
+    defaults = quota.QuotaBound()
     return quota.QuotaBound(
-        bounds.number("QuotaWindowS", usual.window, least=0.1),
-        bounds.number("QuotaExcess", usual.excess),
-        bounds.number("QuotaSlack", usual.slack),
+        bounds.number("QuotaWindowS", defaults.window, minimum=0.1),
+        bounds.number("QuotaExcess", defaults.excess),
+        bounds.number("QuotaSlack", defaults.slack),
     )
 
 
 def _revocation(bounds: _fields.Fields) -> access.RevocationPolicy:
-    usual = access.RevocationPolicy()
+    defaults = access.RevocationPolicy()
     return access.RevocationPolicy(
-        bounds.flag("StrictRevoke", usual.is_strict),
-        bounds.number("RevokeMs", usual.seconds * 1000) / 1000,
+        bounds.flag("StrictRevoke", defaults.is_strict),
+        bounds.number("RevokeMs", defaults.seconds * 1000) / 1000,
     )
 
 
 def _gather_rate(limits: _fields.Fields) -> float:
-    """Tell how many shards the machine can ask in a second.
+    """Estimate how many shards per second the machine can query.
 
-    Its processor is a share of one core that runs several times as fast.
+    The processor is a share of one core that runs several times as fast as a usual one, so the
+    share is multiplied by the number of cores.
     """
     processor = limits.number("CpuShare", 0.0) * limits.number("CpuCores", 0.0)
     return gather_rate.rate(processor, limits.number("LinkMbps", 0.0) * _MEGABIT)
--- a/src/lineworks/platform/target_entries.py
+++ b/src/lineworks/platform/target_entries.py
@@ -1,4 +1,4 @@
-"""The entries that targets keep in the platform's store (JSON)."""
+"""Decoder for the entries that targets keep in the platform's store as JSON."""
 
 from __future__ import annotations
 
@@ -8,68 +8,68 @@
 from lineworks.platform import _fields
 
 PREFIX = "servers/"
-"""Prefix of the keys; what follows is the identity of the target's process."""
+"""Prefix of the keys; the rest of the key is the identity of the target's process."""
 
 _READY = "ready"
 _LEAVING = "draining"
 _STATES = (_READY, _LEAVING)
-_BORN = "born"
+_STARTED_AT = "born"
 
 
-MOST_KEY = 120
-"""Characters of a key that an error names."""
+MAX_KEY_CHARACTERS = 120
+"""Maximum length of a key quoted in an error, in characters."""
 
 
 class EntryError(Exception):
-    """An entry cannot be used; the message names the field."""
+    """An entry is invalid; the message names the field."""
 
 
 def decode(key: str, data: bytes) -> target_view.TargetEntry:
-    """Read an entry.
+    """Decode an entry.
 
     Args:
-        key: Its key.
+        key: Key of the entry.
         data: The stored value.
 
     Returns:
         The entry.
 
     Raises:
-        EntryError: It is no JSON, or a field is missing or wrong. Anybody may write such a key, so
-            an entry with any field amiss names no target to use.
+        EntryError: The value is not JSON, or a field is missing or invalid. Anyone may write such
+            a key, so an entry with any invalid field is rejected as a whole.
     """
     identity = key.removeprefix(PREFIX)
     try:
         return _decode(identity, _fields.Fields(_fields.parse_json(data)))
     except _fields.DocumentError as error:
-        raise EntryError(f"{ascii(key)[1:-1][:MOST_KEY]}: {error}") from error
+        raise EntryError(f"{ascii(key)[1:-1][:MAX_KEY_CHARACTERS]}: {error}") from error
 
 
-def _decode(identity: str, found: _fields.Fields) -> target_view.TargetEntry:
+def _decode(identity: str, document: _fields.Fields) -> target_view.TargetEntry:
     if not _is_token(identity):
         raise _fields.DocumentError("the key names no identity that a header can carry")
-    state = found.text("State")
+    state = document.text("State")
     if state not in _STATES:
         raise _fields.DocumentError(f"State: expected one of {_STATES}")
-    # Not used here; an entry that lacks them was not written by a target.
-    found.text("ConfigVersion")
-    found.integer("CallSeq")
-    host, port = found.address("Address")
+    # Unused fields, but an entry without them was not written by a target.
+    document.text("ConfigVersion")
+    document.integer("CallSeq")
+    host, port = document.address("Address")
     if not _is_ip(host):
         raise _fields.DocumentError("Address: expected an IP address")
     return target_view.TargetEntry(
         id=identity,
-        service=found.text("Service"),
-        hall=found.text("Zone"),
+        service=document.text("Service"),
+        hall=document.text("Zone"),
         host=host,
         port=port,
-        # Requests worked on at a time; a short queue comes on top.
-        slots=found.integer("Capacity", least=1),
+        # Requests processed at a time; the target has a short queue besides.
+        slots=document.integer("Capacity", minimum=1),
         is_leaving=state == _LEAVING,
-        # Time still left of the slow phase after a start.
-        is_cold=found.number("WarmupLeftMs") > 0,
-        # Older targets don't tell when they started; 0 then.
-        born=found.integer(_BORN) if _BORN in found.names else 0,
+        # Time left in the slow phase after a start.
+        is_cold=document.number("WarmupLeftMs") > 0,
+        # Older targets don't report when they started.
+        born=document.integer(_STARTED_AT) if _STARTED_AT in document.names else 0,
     )
 
 
--- a/src/lineworks/programs/node.py
+++ b/src/lineworks/programs/node.py
@@ -66,7 +66,7 @@
 def _open_caller_port(settings: node_settings.NodeSettings) -> early_acceptor.EarlyAcceptor:
     """Open the callers' port and accept connections while other modules are being imported."""
     opened = listening.open_port(settings.callers.host, settings.callers.port)
-    acceptor = early_acceptor.EarlyAcceptor(opened, headers.budget_of_head)
+    acceptor = early_acceptor.EarlyAcceptor(opened, headers.find_budget)
     acceptor.start()
     return acceptor
 
--- a/src/lineworks/services/claim_writer.py
+++ b/src/lineworks/services/claim_writer.py
@@ -86,7 +86,7 @@
         self._recovery_ends_at = 0.0
         platform.era.listeners.append(self._on_store_restored)
         # At start, an instance can't know whether the store has just been restored.
-        platform.era.on_first.append(self._begin_recovery)
+        platform.era.first_listeners.append(self._begin_recovery)
 
     def start(self) -> None:
         """Do nothing; claims are written on demand."""
--- a/tests/test_older_copy.py
+++ b/tests/test_older_copy.py
@@ -71,7 +71,7 @@
 def test_a_version_below_the_old_revision_comes_into_force_in_time(world):
     copy = world.store.copy()
     advance_revision(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     # The poll is refused once, so everything is read; the revisions are still below the old one.
     let_instances_poll(world)
     assert_comes_into_force(world)
@@ -80,7 +80,7 @@
 def test_a_version_comes_into_force_in_time_once_revisions_exceed_the_old_one(world):
     copy = world.store.copy()
     advance_revision(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     assert_comes_into_force(world)
 
 
@@ -90,7 +90,7 @@
     write_others(world, OTHER_WRITES)
     world.announce(target)
     let_instances_poll(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     let_instances_poll(world)
     world.announce(target, "draining")
     world.run(IN_FORCE)
@@ -103,7 +103,7 @@
     write_others(world, OTHER_WRITES)
     world.announce(target)
     let_instances_poll(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     let_instances_poll(world, 4.0)
     world.withdraw(target)
     world.run(IN_FORCE)
@@ -116,7 +116,7 @@
     world.withdraw(target)
     let_instances_poll(world, IN_FORCE)
     assert set(entries(world, target).values()) == {None}
-    world.drill.come_back(copy, rewritten_after=2.0)
+    world.drill.restore(copy, rewrite_delay=2.0)
     for _ in range(50):
         world.run(0.1)
         assert set(entries(world, target).values()) == {None}
@@ -127,7 +127,7 @@
     target = world.add_target("shelf", "akl")
     let_instances_poll(world)
     assert set(entries(world, target).values()) == {False}
-    world.drill.come_back(copy, rewritten_after=1.5)
+    world.drill.restore(copy, rewrite_delay=1.5)
     for _ in range(40):
         world.run(0.1)
         assert set(entries(world, target).values()) == {False}
@@ -140,7 +140,7 @@
     let_instances_poll(world)
     world.end_evacuation("akl")
     let_instances_poll(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     let_instances_poll(world)
     world.evacuate("akl")
     world.run(IN_FORCE)
@@ -151,7 +151,7 @@
     copy = world.store.copy()
     world.evacuate("akl")
     let_instances_poll(world)
-    world.drill.come_back(copy, rewritten_after=1.5)
+    world.drill.restore(copy, rewrite_delay=1.5)
     for _ in range(40):
         world.run(0.1)
         assert {node.directory.evacuated for node in world.nodes.values()} == {frozenset({"akl"})}
@@ -161,7 +161,7 @@
     copy = world.store.copy()
     world.evacuate("akl")
     let_instances_poll(world)
-    world.store.come_back(copy)
+    world.store.restore(copy)
     let_instances_poll(world, 6.0)
     assert {node.directory.evacuated for node in world.nodes.values()} == {frozenset()}
 
@@ -170,7 +170,7 @@
     copy = world.store.copy()
     world.add_node("akl-3", "akl")
     let_instances_poll(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     let_instances_poll(world, 4.0)
     assert registered_names(world) == set(world.nodes)
 
@@ -179,7 +179,7 @@
     copy = world.store.copy()
     world.configure(ROUTES)
     let_instances_poll(world)
-    world.drill.come_back(copy, rewritten_after=5.0)
+    world.drill.restore(copy, rewrite_delay=5.0)
     world.run(0.1)
     world.add_node("akl-3", "akl")
     world.run(1.0)
@@ -193,7 +193,7 @@
     world.announce(target)
     let_instances_poll(world)
     world.host_of("akl-1").freeze()
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     let_instances_poll(world)
     world.configure(ROUTES)
     world.announce(target, "draining")
@@ -207,11 +207,11 @@
 def test_a_second_restore_soon_after_the_first_is_detected(world):
     first = world.store.copy()
     advance_revision(world)
-    world.drill.come_back(first)
+    world.drill.restore(first)
     world.run(0.7)
     second = world.store.copy()
     advance_revision(world)
-    world.drill.come_back(second)
+    world.drill.restore(second)
     let_instances_poll(world)
     assert_comes_into_force(world)
 
@@ -220,7 +220,7 @@
     copy = world.store.copy()
     world.configure(test_forwarding_changes.ROUTES, version=9)
     let_instances_poll(world)
-    world.store.come_back(copy)
+    world.store.restore(copy)
     world.run(0.1)
     world.configure(ROUTES, version=9)
     world.run(IN_FORCE)
@@ -228,8 +228,8 @@
 
 
 def test_keys_of_other_writers_share_the_foreign_prefixes():
-    assert documents.target_key("i-1").startswith(documents.FOREIGN_PREFIXES)
-    assert documents.CONFIGURATION_KEY.startswith(documents.FOREIGN_PREFIXES)
+    assert documents.target_key("i-1").startswith(documents.EXTERNAL_PREFIXES)
+    assert documents.CONFIGURATION_KEY.startswith(documents.EXTERNAL_PREFIXES)
 
 
 def test_suspects_that_the_store_lost_are_rewritten(world):
@@ -239,7 +239,7 @@
     let_instances_poll(world)
     prefix = suspect_documents.PREFIX
     assert len(world.store.page(prefix, "")[0]) == 1
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     let_instances_poll(world)
     assert [item.key for item in world.store.page(prefix, "")[0]] == [prefix + "c" * 24]
 
@@ -250,7 +250,7 @@
     world.network.cut(deployment.STORE_ADDRESS, address)
     copy = world.store.copy()
     advance_revision(world)
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     let_instances_poll(world)
     assert world.nodes["akl-1"]._store.era.value == world.store.era
 
@@ -260,6 +260,6 @@
     let_instances_poll(world)
     calls = world.server.calls
     before = calls["kv-lease"]
-    world.drill.come_back(copy)
+    world.drill.restore(copy)
     let_instances_poll(world)
     assert calls["kv-lease"] - before == len(world.nodes)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -86,7 +86,7 @@
 def test_a_watch_from_a_position_whose_history_is_gone_fails(world):
     first = world.write("a/1")
     world.write("a/1")
-    world.model.forget_history()
+    world.model.compact()
     with pytest.raises(store.HistoryGoneError):
         world.run(world.client.watch("a/", first, 0.0))
 
@@ -267,7 +267,7 @@
 
 def restore(world, copy):
     """Restore the store from a copy that was made earlier."""
-    world.model.come_back(copy)
+    world.model.restore(copy)
 
 
 def test_the_stand_in_loses_writes_made_after_the_copy():
@@ -427,6 +427,6 @@
 
 def test_a_non_numeric_era_is_an_error():
     world = World()
-    world.server.tells_era = lambda: b"soon"
+    world.server.era_header = lambda: b"soon"
     with pytest.raises(store.StoreError, match="no number"):
         world.run(world.client.get("a/1"))
