--- a/src/lineworks/engine/answers.py
+++ b/src/lineworks/engine/answers.py
@@ -15,7 +15,7 @@
     from lineworks.engine import views
 
 MIN_RETRY_AFTER = 0.05
-"""Minimum number of seconds that a refused caller is told to wait before it retries."""
+"""Minimum retry delay, in seconds, that is returned to a refused caller."""
 
 
 def check_search(
@@ -68,15 +68,15 @@
         The covered shards, and a verdict for each shard without a successful reply.
     """
     covered = []
-    lacking = {}
+    missing = {}
     cancelled = verdict.may_have_run(verdict.Reason.CANCELLED, "given up with the query")
     for shard in query.shards:
         result = shard.verdict
         if result is not None and result.is_ok:
             covered.append(shard.shard)
         else:
-            lacking[shard.shard] = result or cancelled
-    return coverage.Coverage(tuple(covered), lacking)
+            missing[shard.shard] = result or cancelled
+    return coverage.Coverage(tuple(covered), missing)
 
 
 def combine_failures(first: verdict.Verdict | None, second: verdict.Verdict) -> verdict.Verdict:
--- a/src/lineworks/engine/dispatcher.py
+++ b/src/lineworks/engine/dispatcher.py
@@ -52,17 +52,17 @@
         on_outcome: Callable[[queries.Query, queries.Shard, messages.ShardReply], None],
         trace: Callable[[queries.Query, str, str, str], None],
     ) -> None:
-        """Create a dispatcher without sub-queries.
+        """Initialise a dispatcher without sub-queries.
 
         Args:
             name: Name of this instance.
             clock: Source of the time and of timers.
-            rng: Random source.
+            rng: Random number generator.
             gatherers: Sends messages to gatherers.
             view: Configuration, owners and holdings.
             tuning: Options of the front.
             counters: Counters of the front, which the dispatcher updates too.
-            state_of: Returns the state of a query's group.
+            get_group_state: Returns the state of a query's group.
             on_outcome: Called with each outcome of a sub-query that is not done yet.
             trace: Called with (query, shard, event, detail) at each step.
         """
--- a/src/lineworks/engine/front.py
+++ b/src/lineworks/engine/front.py
@@ -36,14 +36,14 @@
         tuning: front_state.Tuning | None = None,
         on_trace: Callable[[str, str, str, str], None] | None = None,
     ) -> None:
-        """Create a front without queries.
+        """Initialise a front without queries.
 
         Args:
             name: Name of this instance.
             clock: Source of the time and of timers.
-            rng: Random source.
+            rng: Random number generator.
             gatherers: Sends messages to gatherers.
-            view: Configuration, owners and holdings as this instance knows them.
+            view: Configuration, owners and holdings, as seen by this instance.
             tuning: Options; the defaults when None.
             on_trace: Called with (query, shard, event, detail) at each step.
         """
--- a/src/lineworks/engine/gatherer.py
+++ b/src/lineworks/engine/gatherer.py
@@ -31,11 +31,11 @@
         tuning: sub_query.Tuning | None = None,
         on_trace: Callable[[str, str, str, str], None] | None = None,
     ) -> None:
-        """Create a gatherer without targets.
+        """Initialise a gatherer without targets.
 
         Args:
             clock: Source of the time and of timers.
-            rng: Random source.
+            rng: Random number generator.
             targets: Sends attempts to targets.
             tuning: Options; the defaults when None.
             on_trace: Called with (query, shard, event, detail) at each step.
--- a/src/lineworks/engine/messages.py
+++ b/src/lineworks/engine/messages.py
@@ -1,7 +1,7 @@
 """Messages between a front and its gatherers.
 
 Within a process they are passed as objects; between processes they are sent as peer link frames.
-Deadlines are in the receiver's clock; a peer link transmits the remaining time.
+Deadlines are times on the receiver's clock; a peer link transmits the remaining time.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     """Body that is sent to every target."""
 
     deadline: float
-    """Time by which replies must be sent, in seconds of the receiver's clock."""
+    """Time by which replies must be sent, in seconds on the receiver's clock."""
 
     is_repeatable: bool = True
     """Whether a sub-query may be started more than once."""
--- a/src/lineworks/engine/ports.py
+++ b/src/lineworks/engine/ports.py
@@ -49,7 +49,7 @@
     """The request's body."""
 
     deadline: float
-    """Time by which the target must reply, in seconds of the host's clock."""
+    """Time by which the target must reply, in seconds on the host's clock."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -98,5 +98,5 @@
             request: The message.
 
         Returns:
-            False when there is no link, in which case nothing was sent.
+            Whether the message was sent; False if there is no link to the instance.
         """
--- a/src/lineworks/engine/query.py
+++ b/src/lineworks/engine/query.py
@@ -170,7 +170,7 @@
         hedge_budget: float,
         on_expired: Callable[[Query, verdict.Verdict], None],
     ) -> None:
-        """Create the state of a group with initial limits and no samples.
+        """Initialise the state of a group with initial limits and no samples.
 
         Args:
             policy: The group's policy.
--- a/src/lineworks/engine/requests.py
+++ b/src/lineworks/engine/requests.py
@@ -25,10 +25,10 @@
     """Caller class, which determines the weight at admission."""
 
     deadline: float
-    """Time by which the caller must be answered, in seconds of this process's clock."""
+    """Time by which the caller must be answered, in seconds on this process's clock."""
 
     min_coverage: float | None = None
-    """Share of shards (0 to 1) below which the caller wants a refusal."""
+    """Share of shards (0 to 1) that the caller requires; None for the policy's minimum."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     """Caller class, which determines the weight at admission."""
 
     deadline: float
-    """Time by which the caller must be answered, in seconds of this process's clock."""
+    """Time by which the caller must be answered, in seconds on this process's clock."""
 
     is_repeatable: bool = False
     """Whether it may be executed more than once."""
--- a/src/lineworks/engine/views.py
+++ b/src/lineworks/engine/views.py
@@ -17,7 +17,7 @@
     """
 
     def __init__(self, name: str, hall: str, delay: Callable[[str], float]) -> None:
-        """Create a view with an empty configuration and this instance as the only member.
+        """Initialise a view with an empty configuration and this instance as the only member.
 
         Args:
             name: Name of this instance.
--- a/src/lineworks/http1/client_connection.py
+++ b/src/lineworks/http1/client_connection.py
@@ -103,7 +103,7 @@
         """Whether the connection takes no further requests."""
 
     def is_reusable(self, now: float, fraction: float = 1.0) -> bool:
-        """Tell whether the server can be relied on to still wait for a request.
+        """Return whether the server can be relied on to still wait for a request.
 
         Args:
             now: Current time in seconds.
@@ -216,7 +216,7 @@
             self._begin_response()
 
     def on_message_complete(self) -> None:
-        """Keep the response until the parser has processed all data received with it."""
+        """Hold the response back until the parser has processed all data received with it."""
         if self._complete is not None or self._on_done is None:
             return
         status = self._parser.get_status_code()
@@ -245,7 +245,7 @@
         self._ends_with_connection = False
 
     def _is_mismatched(self) -> bool:
-        """Tell whether the response belongs to another request.
+        """Return whether the response belongs to another request.
 
         A response must carry the expected field. Surplus responses of faulty servers lack it or
         carry another value. Only a 4xx response may omit it, since the server may have rejected the
--- a/src/lineworks/kernel/mailbox.py
+++ b/src/lineworks/kernel/mailbox.py
@@ -1,4 +1,4 @@
-"""Mailboxes: a message queue whose handler processes one message at a time, in order."""
+"""A message queue whose handler processes one message at a time, in order."""
 
 from __future__ import annotations
 
--- a/src/lineworks/kernel/rate_limited_log.py
+++ b/src/lineworks/kernel/rate_limited_log.py
@@ -42,7 +42,7 @@
 
         Args:
             event: Name of the event.
-            fields: Fields of the log line.
+            **fields: Fields of the log line.
         """
         now = self._clock.seconds()
         self._tokens.earn((now - self._refilled_at) * self._rate)
--- a/src/lineworks/kernel/steady_reactor.py
+++ b/src/lineworks/kernel/steady_reactor.py
@@ -30,7 +30,7 @@
     def runUntilCurrent(self) -> None:  # noqa: N802
         """Run the calls that are due; after a stall, first read the data that has arrived.
 
-        Otherwise a process that resumes would hedge or give up requests whose responses are already
+        Otherwise a process that resumes would hedge or abandon requests whose responses are already
         in the socket buffers.
         """
         last_run_at = self._last_run_at
--- a/src/lineworks/services/auth.py
+++ b/src/lineworks/services/auth.py
@@ -51,7 +51,7 @@
     """Verifies signed requests, and keeps their nonces for as long as they could be replayed."""
 
     def __init__(self, secret: bytes) -> None:
-        """Create a verifier that has seen no nonces.
+        """Initialise a verifier that has seen no nonces.
 
         Args:
             secret: The shared secret.
--- a/src/lineworks/services/caller_api.py
+++ b/src/lineworks/services/caller_api.py
@@ -47,7 +47,7 @@
         instance_metrics: metrics.Metrics,
         timelines: traces.Traces,
     ) -> None:
-        """Create the API; it does not listen before `start`.
+        """Initialise the API; it does not listen before `start`.
 
         Args:
             reactor: Twisted's reactor.
--- a/src/lineworks/services/cluster.py
+++ b/src/lineworks/services/cluster.py
@@ -31,13 +31,13 @@
 """One-way network delay, in seconds, to another instance of the same hall."""
 
 REPORT_INTERVAL_SECONDS = 1.0
-"""Seconds without a report after which a target is asked for one."""
+"""Seconds without a report after which one is requested from a target."""
 
 REPORT_POLL_SECONDS = 0.1
 """Seconds between checks for targets whose reports are due."""
 
 MAX_REPORTS_PER_POLL = 5
-"""Maximum number of targets with a known state that are asked for a report at each check.
+"""Maximum number of targets with a known state from which a report is requested at each check.
 
 This bounds the share of the processor that the requests take.
 """
@@ -58,7 +58,7 @@
         timelines: traces.Traces,
         era: store_era.StoreEra,
     ) -> None:
-        """Create the front and the gatherer, and connect them.
+        """Initialise the front and the gatherer, and connect them.
 
         Args:
             reactor: Twisted's reactor.
@@ -109,11 +109,11 @@
         self._members.listeners.append(self._on_members)
 
     def start(self) -> None:
-        """Start asking targets for their reports."""
+        """Start requesting reports from targets."""
         self._task.start()
 
     def stop(self) -> None:
-        """Stop asking targets for their reports."""
+        """Stop requesting reports from targets."""
         self._task.stop()
 
     def send(self, instance: str, request: messages.Request) -> bool:
@@ -128,7 +128,7 @@
         """
         if instance != self._name:
             return self._links.send(instance, request)
-        # The local gatherer is called in a later turn of the reactor, so that its replies never
+        # The local gatherer is called in a later reactor iteration, so that its replies never
         # re-enter the front while the front is sending.
         self._reactor.callLater(0, self._deliver_locally, request)
         return True
@@ -195,7 +195,7 @@
         self.gatherer.on_cancel(link.hello.incarnation, frame)
 
     def _reply_to_peer(self, name: str, reply: messages.ShardReply) -> None:
-        """Queue a reply; all replies to a peer in one turn of the reactor are sent as one frame."""
+        """Queue a reply; all replies to a peer in one reactor iteration form one frame."""
         batch = self._pending_replies.get(name)
         if batch is None:
             self._pending_replies[name] = [reply]
@@ -223,7 +223,7 @@
             self._reactor.callLater(0, self._request_due_reports)
 
     def _on_holdings_changed(self) -> None:
-        """Update the local front at once, and all peers at most once per turn of the reactor."""
+        """Update the local front at once, and all peers at most once per reactor iteration."""
         self.view.set_holdings(self._name, self.gatherer.holdings())
         if not self._is_broadcast_scheduled:
             self._is_broadcast_scheduled = True
@@ -239,10 +239,10 @@
             await task.sleep(self._reactor, REPORT_POLL_SECONDS)
 
     def _request_due_reports(self) -> None:
-        """Ask targets whose reports are due.
+        """Request reports from the targets whose reports are due.
 
-        New targets are all asked at once; while there are none, the others are asked in the order
-        of their last report or request, at most `MAX_REPORTS_PER_POLL` at a time.
+        New targets are all queried at once; while there are none, the others are queried in the
+        order of their last report or request, at most `MAX_REPORTS_PER_POLL` at a time.
         """
         now = self._reactor.seconds()
         owned_replicas = list(self.gatherer.owned_replicas)
--- a/src/lineworks/services/config_store.py
+++ b/src/lineworks/services/config_store.py
@@ -182,7 +182,7 @@
     async def apply(
         self, items: Mapping[str, str | None], base: int, change_id: str, author: str
     ) -> Outcome:
-        """Make a change to the configuration.
+        """Apply a change to the configuration.
 
         Args:
             items: New contents by key; None deletes the key.
--- a/src/lineworks/services/instance.py
+++ b/src/lineworks/services/instance.py
@@ -41,7 +41,7 @@
     """An instance: a service registry with the services that its roles require."""
 
     def __init__(self, reactor: Any, options: settings_models.Settings) -> None:
-        """Create the instance; it opens no socket before `start`.
+        """Initialise the instance; it opens no socket before `start`.
 
         Args:
             reactor: Twisted's reactor.
--- a/src/lineworks/services/lifecycle.py
+++ b/src/lineworks/services/lifecycle.py
@@ -94,7 +94,7 @@
     """The lifecycle of an instance."""
 
     def __init__(self, on_draining: Callable[[], None], on_stopped: Callable[[], None]) -> None:
-        """Create a lifecycle in the state `starting`.
+        """Initialise a lifecycle in the state `starting`.
 
         Args:
             on_draining: Called once, when the instance begins to drain.
--- a/src/lineworks/services/membership.py
+++ b/src/lineworks/services/membership.py
@@ -1,4 +1,4 @@
-"""Which instances are live: the platform's list, corrected by the state of this instance's links.
+"""Tracks live instances by the platform's list, corrected by the state of this instance's links.
 
 The list is delayed. A peer with an established link is live whatever the list says. A listed peer
 that cannot be reached counts as live only for `members.GRACE` seconds. A peer that announces that
@@ -51,7 +51,7 @@
         self,
         reactor: Any,
         rng: random.Random,
-        me: member.Member,
+        own_member: member.Member,
         platform: platform_client.PlatformClient,
         links: peer_links.PeerLinks,
         seeds: list[member.Member],
@@ -61,18 +61,18 @@
         Args:
             reactor: Twisted's reactor.
             rng: Source of jitter.
-            me: The entry of this instance.
+            own_member: The entry of this instance.
             platform: Client of the platform.
             links: Links to peers.
             seeds: Peers named in the settings.
         """
         self._reactor = reactor
         self._rng = rng
-        self._me = me
+        self._own_member = own_member
         self._platform = platform
         self._links = links
         self._seeds = seeds
-        self._state = members.MemberState(me.name, me.hall)
+        self._state = members.MemberState(own_member.name, own_member.hall)
         self._listed: dict[str, member.Member] = {}
         self._task = task.Task("membership", self._run)
         self._published: dict[str, str] = {}
@@ -94,7 +94,7 @@
         Returns:
             Names of the instances.
         """
-        return [name for name, hall in self.live.items() if hall == self._me.hall]
+        return [name for name, hall in self.live.items() if hall == self._own_member.hall]
 
     def start(self) -> None:
         """Start announcing this instance and reading the list."""
@@ -150,16 +150,25 @@
     @property
     def _is_reader(self) -> bool:
         readers = ownership.owners(_READER_SUBJECT, self.hall_members(), READERS_PER_HALL)
-        return self._me.name in readers
+        return self._own_member.name in readers
 
     async def _announce(self) -> None:
-        me = self._me
-        entry = member.Member(me.name, me.hall, me.host, me.port, me.incarnation, self.is_leaving)
+        own_member = self._own_member
+        entry = member.Member(
+            own_member.name,
+            own_member.hall,
+            own_member.host,
+            own_member.port,
+            own_member.incarnation,
+            self.is_leaving,
+        )
         await self._platform.announce(entry, LEASE_SECONDS)
 
     def _process_list(self, listed: list[member.Member]) -> None:
         now = self._reactor.seconds()
-        self._listed = {member.name: member for member in listed if member.name != self._me.name}
+        self._listed = {
+            member.name: member for member in listed if member.name != self._own_member.name
+        }
         self._state.on_list(
             [
                 members.ListedInstance(
@@ -171,7 +180,7 @@
         )
         wanted = {seed.name: seed for seed in self._seeds}
         wanted.update(self._listed)
-        wanted.pop(self._me.name, None)
+        wanted.pop(self._own_member.name, None)
         self._links.set_peers(wanted)
 
     def _on_up(self, hello: frames.Hello) -> None:
--- a/src/lineworks/services/operator_api.py
+++ b/src/lineworks/services/operator_api.py
@@ -52,7 +52,7 @@
         links: peer_links.PeerLinks,
         platform: platform_client.PlatformClient,
     ) -> None:
-        """Create the API; it does not listen before `start`.
+        """Initialise the API; it does not listen before `start`.
 
         Args:
             reactor: Twisted's reactor.
--- a/src/lineworks/services/peer_link.py
+++ b/src/lineworks/services/peer_link.py
@@ -29,17 +29,17 @@
         nonce: Nonce of the other end's challenge.
         name: Name of the signing instance.
         hall: Its data hall.
-        incarnation: Identity of its process.
+        incarnation: ID of its process.
 
     Returns:
-        The HMAC-SHA256 of the nonce and the identity.
+        The HMAC-SHA256 of the nonce, the name, the hall and the incarnation.
     """
     text = "\0".join((name, hall, incarnation)).encode()
     return hmac.new(secret, nonce + text, hashlib.sha256).digest()
 
 
 class LinkOwner(Protocol):
-    """What a link requires of its owner."""
+    """Interface that a link requires of its owner."""
 
     compresses: bool
     """Whether sent frames are compressed."""
--- a/src/lineworks/services/peer_links.py
+++ b/src/lineworks/services/peer_links.py
@@ -55,7 +55,7 @@
             reactor: Twisted's reactor.
             name: Name of this instance.
             hall: Its data hall.
-            incarnation: Identity of its process.
+            incarnation: ID of its process.
             secret: The shared secret.
         """
         self._reactor = reactor
@@ -167,7 +167,7 @@
             frame: The frame to send.
 
         Returns:
-            False if there is no link to the peer, so that nothing was sent.
+            Whether the frame was sent; False if there is no link to the peer.
         """
         link = self._links.get(name)
         if link is None:
--- a/src/lineworks/services/platform_client.py
+++ b/src/lineworks/services/platform_client.py
@@ -181,7 +181,7 @@
         return entries
 
     async def announce(self, entry: member.Member, lease_seconds: float) -> None:
-        """Put this instance on the membership list, or extend its lease there.
+        """Add this instance to the membership list, or renew the lease of its entry.
 
         Args:
             entry: The entry of this instance.
--- a/src/lineworks/services/runs.py
+++ b/src/lineworks/services/runs.py
@@ -2,7 +2,8 @@
 
 A request with a ticket or a key has a request ID: the ticket's text, or `key:` and the digest of
 the workspace and the key. A retry with the same ID does not run the request again: it gets the
-first outcome while that is known. A claim of a key expires after `claims.CLAIM_TTL_SECONDS`.
+first outcome for as long as that is kept. A claim of a key expires after
+`claims.CLAIM_TTL_SECONDS`.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
         keeper: config_keeper.ConfigKeeper,
         writer: claim_writer.ClaimWriter,
     ) -> None:
-        """Create a runner that has issued no tickets.
+        """Initialise a runner that has issued no tickets.
 
         Args:
             reactor: Twisted's reactor.
@@ -216,7 +217,7 @@
     async def _on_key_taken(
         self, first_claim: claims.Claim, own_claim: claims.Claim, deadline: float
     ) -> caller_http.Reply:
-        """Answer a request whose key is already claimed, by the first outcome if it is known."""
+        """Answer a request whose key is already claimed, with the first outcome if it is known."""
         if first_claim.fingerprint != own_claim.fingerprint:
             refusal = verdict.not_run(
                 verdict.Reason.KEY_TAKEN, "the key was used for another request"
--- a/src/lineworks/services/target_pool.py
+++ b/src/lineworks/services/target_pool.py
@@ -181,16 +181,16 @@
             A deferred that fires with the report, or with None if no connection was available, or
             the reply was invalid or did not arrive in time.
         """
-        asked: defer.Deferred[replicas.StatusReport | None] = defer.Deferred()
+        done: defer.Deferred[replicas.StatusReport | None] = defer.Deferred()
 
         def handle_response(response: target_connection.Response | None) -> None:
-            if not asked.called:
-                asked.callback(_parse_report(response))
+            if not done.called:
+                done.callback(_parse_report(response))
 
         self._send_control_request(
             target, _encode("GET", "/v1/report", target, {}, b""), handle_response
         )
-        return asked
+        return done
 
     def _send_control_request(
         self,
@@ -258,7 +258,7 @@
         return functools.partial(_discard_outcome, exchange)
 
     def _cancel(self, target: catalog.Target, attempt: ports.Attempt, exchange: _Exchange) -> None:
-        """Ask the target to cancel, and close the connection if that has no effect in time."""
+        """Request cancellation from the target; close the connection if that takes too long."""
         _discard_outcome(exchange)
         exchange.is_cancelled = True
         connection = exchange.connection
--- a/src/lineworks/services/traces.py
+++ b/src/lineworks/services/traces.py
@@ -37,7 +37,7 @@
     """The timelines of the most recent queries, in memory."""
 
     def __init__(self, clock: ports.Clock) -> None:
-        """Create an empty store of timelines.
+        """Initialise an empty store of timelines.
 
         Args:
             clock: Clock that timestamps the events.
--- a/src/lineworks/wire/frames.py
+++ b/src/lineworks/wire/frames.py
@@ -33,7 +33,7 @@
     """Data hall of the instance."""
 
     incarnation: str
-    """Identity of the instance's process."""
+    """ID of the instance's process."""
 
     mac: bytes
     """HMAC-SHA256 of the challenge and the other fields, keyed with the shared secret."""
@@ -99,16 +99,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """Forwards a request with a ticket to the instance that issued the ticket."""
+    """Relays a request to the instance that issued its ticket or claimed its idempotency key."""
 
     number: int
     """Message number, unique within the sending process."""
 
     ticket: str
-    """Ticket of the request."""
+    """Request ID: the text of the ticket, or `key:` and the digest of the workspace and the key."""
 
     document: bytes
-    """The caller's request as JSON."""
+    """The caller's request as JSON; an empty object if the request has a key."""
 
     deadline: float
     """Deadline of the reply, in seconds on the receiver's clock."""
--- a/src/lineworks/wire/node_frames.py
+++ b/src/lineworks/wire/node_frames.py
@@ -11,7 +11,7 @@
 
 
 class Failure(enum.IntEnum):
-    """Why a gatherer has no response from a shard."""
+    """Reason why a gatherer has no response from a shard."""
 
     NOT_SENT = 0
     """The request was not sent to any target."""
