--- a/src/lineworks/http1/client_connection.py
+++ b/src/lineworks/http1/client_connection.py
@@ -103,7 +103,7 @@
         """Whether the connection takes no further requests."""
 
     def is_reusable(self, now: float, fraction: float = 1.0) -> bool:
-        """Return whether the server can be relied on to still wait for a request.
+        """Return whether the connection is idle and the server is expected to keep it open.
 
         Args:
             now: Current time in seconds.
--- a/src/lineworks/services/cluster.py
+++ b/src/lineworks/services/cluster.py
@@ -241,8 +241,8 @@
     def _request_due_reports(self) -> None:
         """Request reports from the targets whose reports are due.
 
-        New targets are all queried at once; while there are none, the others are queried in the
-        order of their last report or request, at most `MAX_REPORTS_PER_POLL` at a time.
+        All new targets get a request at once. While there are none, the other targets get one in
+        the order of their last report or request, at most `MAX_REPORTS_PER_POLL` at a time.
         """
         now = self._reactor.seconds()
         owned_replicas = list(self.gatherer.owned_replicas)
--- a/src/lineworks/services/membership.py
+++ b/src/lineworks/services/membership.py
@@ -1,4 +1,4 @@
-"""Tracks live instances by the platform's list, corrected by the state of this instance's links.
+"""Tracks live instances from the platform's list, corrected by the state of this instance's links.
 
 The list is delayed. A peer with an established link is live whatever the list says. A listed peer
 that cannot be reached counts as live only for `members.GRACE` seconds. A peer that announces that
