--- a/src/lineworks/models/node_settings.py
+++ b/src/lineworks/models/node_settings.py
@@ -68,8 +68,8 @@
     """Limit on requests that all instances together may admit beyond a workspace's quota."""
 
     revocation: access.RevocationPolicy = access.RevocationPolicy()
-    """Handling of API keys that may have been revoked while the instance had no contact with the
-    store."""
+    """Rules for API keys that may have been revoked while the instance's configuration could not be
+    refreshed."""
 
     gather_rate: float = 0.0
     """Shards per second that the instance can query for other instances; 0 if not known."""
--- a/src/lineworks/platform/settings.py
+++ b/src/lineworks/platform/settings.py
@@ -150,8 +150,8 @@
 def _gather_rate(limits: _fields.Fields) -> float:
     """Estimate how many shards per second the machine can query.
 
-    The processor is a share of one core that runs several times as fast as a usual one, so the
-    share is multiplied by the number of cores.
+    The process gets a share (`CpuShare`) of one core that runs `CpuCores` times as fast as a usual
+    one, so its capacity in usual cores is the product of both.
     """
     processor = limits.number("CpuShare", 0.0) * limits.number("CpuCores", 0.0)
     return gather_rate.rate(processor, limits.number("LinkMbps", 0.0) * _MEGABIT)
--- a/src/lineworks/programs/_timeline.py
+++ b/src/lineworks/programs/_timeline.py
@@ -36,7 +36,7 @@
     """Find the lines of a request in a log.
 
     Args:
-        identity: The caller's ID of the attempt.
+        attempt_id: The caller's ID of the attempt.
         name: Name of the log.
         lines: Lines of the log; lines without a JSON object are skipped.
 
@@ -55,7 +55,7 @@
     The clocks of different processes are not comparable, so the lines are grouped by log.
 
     Args:
-        identity: The caller's ID of the attempt.
+        attempt_id: The caller's ID of the attempt.
         found: The request's lines from all logs.
 
     Returns:
