--- a/src/lineworks/models/caller_http.py
+++ b/src/lineworks/models/caller_http.py
@@ -37,11 +37,11 @@
 LEGACY_WORKSPACE_FIELD = "tenant"
 """Former name of the same field. Callers may still send it and selectors may still match it."""
 
-_Workspace = pydantic.Field(
+_WORKSPACE_INFO = pydantic.Field(
     default="none",
     validation_alias=pydantic.AliasChoices(WORKSPACE_FIELD, LEGACY_WORKSPACE_FIELD),
 )
-_DeadlineMs = pydantic.Field(
+_DEADLINE_INFO = pydantic.Field(
     default=DEFAULT_DEADLINE_MS, ge=1, le=int(deadlines.MAX_TIMEOUT_SECONDS * 1000)
 )
 
@@ -72,10 +72,10 @@
     caller_class: _base.Name = pydantic.Field(default="default", alias="class")
     """Caller class."""
 
-    workspace: _base.Name = _Workspace
+    workspace: _base.Name = _WORKSPACE_INFO
     """Customer on whose behalf the caller asks."""
 
-    deadline_ms: int = _DeadlineMs
+    deadline_ms: int = _DEADLINE_INFO
     """Milliseconds that the caller waits."""
 
     min_coverage: float | None = pydantic.Field(default=None, ge=0.0, le=1.0, strict=False)
@@ -110,10 +110,10 @@
     caller_class: _base.Name = pydantic.Field(default="default", alias="class")
     """Caller class."""
 
-    workspace: _base.Name = _Workspace
+    workspace: _base.Name = _WORKSPACE_INFO
     """Customer on whose behalf the caller asks."""
 
-    deadline_ms: int = _DeadlineMs
+    deadline_ms: int = _DEADLINE_INFO
     """Milliseconds that the caller waits."""
 
     unrepeatable: bool = False
--- a/src/lineworks/models/node_settings.py
+++ b/src/lineworks/models/node_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process, in the product's own types."""
+"""Settings of an instance on the users' platform, independent of the platform's format."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Settings of one process of the production program."""
+    """Settings of one process of `lineworks-node`."""
 
     name: str
     """Unique name of the instance."""
--- a/src/lineworks/models/settings.py
+++ b/src/lineworks/models/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance, which are read from a JSON file."""
+"""Settings of an instance that `lineworks-entry` runs, read from a JSON file."""
 
 from __future__ import annotations
 
--- a/src/lineworks/platform/_store_connections.py
+++ b/src/lineworks/platform/_store_connections.py
@@ -24,7 +24,7 @@
 RESEND_SECONDS = 0.2
 """Seconds without an answer after which a read is sent again. This is 50 times the usual response
 time of the store, and a fifteenth of the time within which a change must take effect. It also
-bounds how long after a silent store's return a starting instance asks again."""
+bounds the time from a silent store's recovery until a starting instance asks it again."""
 
 
 class ConnectError(Exception):
--- a/src/lineworks/platform/headers.py
+++ b/src/lineworks/platform/headers.py
@@ -145,13 +145,13 @@
         headers: Headers of its answer.
 
     Returns:
-        True if it is certain that the request has not run there and will not.
+        True if it is certain that the request has not run there and will not run there.
     """
     return status == _WRONG_INSTANCE_STATUS or _NOT_RUN in headers
 
 
 def is_wrong_instance(status: int) -> bool:
-    """Return whether the address belongs to a process other than the expected one."""
+    """Return whether a status states that the process is not the expected one."""
     return status == _WRONG_INSTANCE_STATUS
 
 
--- a/src/lineworks/platform/settings.py
+++ b/src/lineworks/platform/settings.py
@@ -1,7 +1,8 @@
 """Decoder for the settings file that the platform writes for each process.
 
-The file is JSON if written with our template, otherwise YAML. The YAML parser is imported only for
-a file that is not JSON, because the import takes a twentieth of a process's start time.
+The file is JSON if it was written from this project's template, otherwise YAML. The YAML parser is
+imported only for a file that is not JSON, because the import takes a twentieth of a process's start
+time.
 """
 
 from __future__ import annotations
@@ -148,7 +149,7 @@
 
 
 def _gather_rate(limits: _fields.Fields) -> float:
-    """Estimate how many shards per second the machine can query.
+    """Estimate how many shards per second the instance can query.
 
     The process gets a share (`CpuShare`) of one core that runs `CpuCores` times as fast as a usual
     one, so its capacity in usual cores is the product of both.
--- a/src/lineworks/platform/standins/documents.py
+++ b/src/lineworks/platform/standins/documents.py
@@ -1,4 +1,4 @@
-"""Encoders for what operators, targets, the load balancer and callers send on the platform."""
+"""Encoders for documents and requests of operators, targets, the load balancer and callers."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
         routes: Routes in the platform's format; missing fields get default values.
         services: Names of the services.
         cold_seconds: Seconds for which their targets are cold after a start.
-        cold_rate: Requests per second that a cold target handles; 0 for no bound.
+        cold_rate: Requests per second that a cold target handles; 0 for no limit.
         workspaces: Workspaces in the platform's format; if empty, no request needs an API key.
 
     Returns:
--- a/src/lineworks/platform/standins/http_target.py
+++ b/src/lineworks/platform/standins/http_target.py
@@ -114,7 +114,7 @@
         self.is_fatal: Callable[[Run], bool] = lambda run: False
         """Returns whether a request crashes the target that runs it."""
         self.on_crash: Callable[[Run], None] = lambda run: None
-        """Called with such a request at the time of the crash."""
+        """Called with a fatal request when it crashes the target."""
         self.on_refused: Callable[[str], None] = lambda attempt: None
         """Called with the identity of each attempt that the target refuses."""
         self.connections: set[_TargetProtocol] = set()
--- a/src/lineworks/platform/standins/store_server.py
+++ b/src/lineworks/platform/standins/store_server.py
@@ -41,7 +41,7 @@
     """Delay of each answer, in seconds."""
 
     lose_answers: int = 0
-    """Number of next writes that are executed but not answered."""
+    """Number of upcoming writes that are executed but not answered."""
 
 
 class StoreServer:
@@ -85,7 +85,7 @@
         self._port = reactor.listenTCP(port, self.factory, interface=host, backlog=512)
 
     def close(self) -> Any:
-        """Stop serving."""
+        """Stop accepting connections."""
         return self._port.stopListening()
 
     def _on_request(self, request: server_connection.Request, answer: Answer) -> None:
@@ -179,26 +179,26 @@
     def _watch(self, parameters: dict[str, str], answer: Answer) -> None:
         prefix, after = parameters["PathPrefix"], int(parameters["after"])
         wait = min(MAX_WAIT_SECONDS, int(parameters.get("WaitMs", "0")) / 1000)
-        if self._answer_changes(prefix, after, answer, must=not wait):
+        if self._answer_changes(prefix, after, answer, even_if_empty=not wait):
             return
         is_over = False
 
-        def finish(must: bool) -> None:
+        def finish(even_if_empty: bool) -> None:
             nonlocal is_over
-            if not is_over and self._answer_changes(prefix, after, answer, must):
+            if not is_over and self._answer_changes(prefix, after, answer, even_if_empty):
                 is_over = True
                 stop()
 
         stop = self._model.wait(prefix, lambda: finish(True))
         self._clock.callLater(wait, finish, True)
 
-    def _answer_changes(self, prefix: str, after: int, answer: Answer, must: bool) -> bool:
+    def _answer_changes(self, prefix: str, after: int, answer: Answer, even_if_empty: bool) -> bool:
         try:
             found = self._model.changes(prefix, after)
         except store_model.CompactedError:
             answer(server_connection.Answer(410))
             return True
-        if not found and not must:
+        if not found and not even_if_empty:
             return False
         rows = [_change(change) for change in found]
         answer(_json({"events": rows, "AtRev": self._model.revision}))
@@ -222,5 +222,5 @@
 
 
 def _json(document: Any, status: int = 200) -> server_connection.Answer:
-    kind = (b"Content-Type", b"application/json")
-    return server_connection.Answer(status, [kind], json.dumps(document).encode())
+    content_type = (b"Content-Type", b"application/json")
+    return server_connection.Answer(status, [content_type], json.dumps(document).encode())
--- a/src/lineworks/platform/store.py
+++ b/src/lineworks/platform/store.py
@@ -358,7 +358,7 @@
 
 
 def _era_of(answer: client_connection.Response) -> int:
-    """Read the era of an answer; 0 if the store sends none, which then has only one era."""
+    """Read the era of an answer; a store that sends none has only one era, counted as 0."""
     text = answer.headers.get(_ERA, b"0")
     try:
         return int(text)
--- a/src/lineworks/platform/target_entries.py
+++ b/src/lineworks/platform/target_entries.py
@@ -66,7 +66,7 @@
         # Requests processed at a time; the target has a short queue besides.
         slots=document.integer("Capacity", minimum=1),
         is_leaving=state == _LEAVING,
-        # Time left in the slow phase after a start.
+        # The field holds the time left in the slow phase after a start.
         is_cold=document.number("WarmupLeftMs") > 0,
         # Older targets don't report when they started.
         born=document.integer(_STARTED_AT) if _STARTED_AT in document.names else 0,
--- a/src/lineworks/programs/_losses.py
+++ b/src/lineworks/programs/_losses.py
@@ -55,7 +55,7 @@
     """The workspace; empty if the log line names none."""
 
     hall: str
-    """Data hall of the instance, or a question mark if the log does not tell."""
+    """Data hall of the instance, or a question mark if the log does not name it."""
 
     second: int
     """Time at which the request ended, in whole seconds on the log's clock."""
--- a/src/lineworks/programs/demo.py
+++ b/src/lineworks/programs/demo.py
@@ -1,9 +1,9 @@
-"""`lineworks-demo`: runs the whole system in one process, for half a minute at most.
+"""`lineworks-demo`: runs the whole system in one process; takes half a minute at most.
 
-A platform stand-in, the Consortium's score-finder in two data halls and three instances communicate
-over TCP on the loopback interface. Searches and non-idempotent part downloads run while one target
-stalls, one leaves, the index gets a new version and the configuration changes. The system's
-guarantees are then checked against records kept by the callers and the targets.
+A stand-in platform, the targets of two applications in two data halls and three instances
+communicate over TCP on the loopback interface. Searches and non-idempotent part downloads run while
+one target stalls, one leaves, a new snapshot replaces the old one and the configuration changes.
+The system's guarantees are then checked against records kept by the callers and the targets.
 """
 
 from __future__ import annotations
--- a/src/lineworks/programs/entry.py
+++ b/src/lineworks/programs/entry.py
@@ -1,4 +1,4 @@
-"""`lineworks-entry`: runs one instance."""
+"""`lineworks-entry`: runs one instance, configured by a JSON settings file."""
 
 from __future__ import annotations
 
--- a/src/lineworks/programs/standin.py
+++ b/src/lineworks/programs/standin.py
@@ -1,4 +1,7 @@
-"""`lineworks-standin`: stand-ins for the platform and targets, in both users' sizes, for trials."""
+"""`lineworks-standin`: stand-ins for the platform and the targets, for trials.
+
+The flags can set the sizes of either user's deployment.
+"""
 
 from __future__ import annotations
 
--- a/src/lineworks/standins/deployment.py
+++ b/src/lineworks/standins/deployment.py
@@ -114,7 +114,8 @@
         self.quota_bound = quota.QuotaBound(5.0, 0.1, 20.0)
         """How far instances that start from now on may exceed quotas."""
         self.revocation = access.RevocationPolicy()
-        """How instances that start from now on treat revoked keys while they get no updates."""
+        """How instances that start from now on handle revoked keys while they get no configuration
+        updates."""
         self.cold_bound = cold_targets.ColdBound(1.5, 5.0)
         """Limit on the requests that a cold target gets from all instances together."""
         self.keeps_identities = False
@@ -228,7 +229,7 @@
         self.store.write(documents.CONFIGURATION_KEY, document)
 
     def evacuate(self, hall: str) -> None:
-        """Evacuate a data hall: request, as operators do, that its targets get nothing more."""
+        """Request, as operators do, that the targets of a data hall get no more requests."""
         self.store.write(documents.evacuation_key(hall), documents.encode_value("{}"))
 
     def end_evacuation(self, hall: str) -> None:
--- a/src/lineworks/standins/memory_network.py
+++ b/src/lineworks/standins/memory_network.py
@@ -39,7 +39,7 @@
         self._held_deliveries: list[tuple[str, str, Callable[[], None]]] = []
 
     def host(self, address: str) -> Host:
-        """Return the host with an address, creating it if necessary.
+        """Return the host with the given address, creating it if necessary.
 
         Args:
             address: IP address of the host.
@@ -262,11 +262,11 @@
         return self._next_port
 
     def listening_port(self, port: int) -> _ListeningPort | None:
-        """Return the listening port with a number, or None."""
+        """Return the listening port with the given number, or None."""
         return self._ports.get(port)
 
     def close_port(self, port: int) -> None:
-        """Stop listening on a port, if the host does."""
+        """Stop listening on a port; do nothing if the host does not listen on it."""
         self._ports.pop(port, None)
 
     def add_transport(self, transport: memory_transport.MemoryTransport) -> None:
--- a/src/lineworks/standins/shapes.py
+++ b/src/lineworks/standins/shapes.py
@@ -1,4 +1,4 @@
-"""Plans of services and targets, spread over data halls, for trials at the users' sizes."""
+"""Plans services and targets, spread over data halls, for trials at the users' sizes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,8 @@
     """Data halls; services are assigned to them in turn."""
 
     replicas_share_hall: bool = True
-    """Whether all replicas of a service stand in one hall; if not, each stands in the next hall."""
+    """Whether all replicas of a service stand in one hall; if not, each stands in the hall after
+    that of the previous replica."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/lineworks/standins/site.py
+++ b/src/lineworks/standins/site.py
@@ -17,7 +17,7 @@
 
 
 class Site:
-    """The platform and the targets that the instances talk to."""
+    """Stand-ins for the platform and the targets that instances connect to."""
 
     def __init__(
         self,
--- a/src/lineworks/standins/target_model.py
+++ b/src/lineworks/standins/target_model.py
@@ -1,4 +1,4 @@
-"""A model of a target for the stand-ins and the bench: slots, a queue, service times and faults.
+"""A model of a target for stand-ins and benchmarks: slots, a queue, service times and faults.
 
 It runs on any clock and counts which requests it started and how often. Each reply names the
 request, shard and snapshot that it answers, so that its receiver can detect answers that mix
