--- a/src/lineworks/models/__init__.py
+++ b/src/lineworks/models/__init__.py
@@ -1,1 +1,1 @@
-"""Validated models of external data: settings, configuration and HTTP bodies."""
+"""Models of external data: settings, configuration, membership and HTTP bodies."""
--- a/src/lineworks/models/configuration.py
+++ b/src/lineworks/models/configuration.py
@@ -1,4 +1,4 @@
-"""Models of the operators' configuration: services, selectors and caller classes.
+"""Models of the configuration of `lineworks-entry`: services, selectors and caller classes.
 
 A configuration is a set of items, each under a key such as `service/score-01`. A change puts or
 deletes items. This module validates items and builds the catalog that the decision logic uses.
--- a/src/lineworks/platform/configuration.py
+++ b/src/lineworks/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decoder for the operators' configuration, which the platform's store holds as JSON."""
+"""Decoder for the configuration that operators keep in the platform's store as JSON."""
 
 from __future__ import annotations
 
--- a/src/lineworks/platform/standins/__init__.py
+++ b/src/lineworks/platform/standins/__init__.py
@@ -1,4 +1,5 @@
 """Stand-ins for the platform's store and targets that speak its protocols.
 
-Only tests and benchmarks use them; the production program does not import them.
+They are used by tests, benchmarks, `lineworks-demo` and `lineworks-standin`; the production program
+does not import them.
 """
--- a/src/lineworks/platform/target_entries.py
+++ b/src/lineworks/platform/target_entries.py
@@ -63,7 +63,7 @@
         hall=document.text("Zone"),
         host=host,
         port=port,
-        # Requests processed at a time; the target has a short queue besides.
+        # Number of requests processed at a time; the target also has a short queue.
         slots=document.integer("Capacity", minimum=1),
         is_leaving=state == _LEAVING,
         # The field holds the time left in the slow phase after a start.
--- a/src/lineworks/standins/__init__.py
+++ b/src/lineworks/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform, the targets and the network, for tests and benchmarks."""
+"""Stand-ins for the platform, the targets and the network, for tests, benchmarks and trials."""
--- a/src/lineworks/standins/deployment.py
+++ b/src/lineworks/standins/deployment.py
@@ -142,7 +142,7 @@
 
         Args:
             service: Name of the service that it serves.
-            hall: Data hall that it stands in.
+            hall: Its data hall.
             work: Returns the seconds that the next request takes.
 
         Returns:
@@ -242,7 +242,7 @@
         Args:
             name: Name of the instance; a known name gets its previous address, a new one a new
                 address.
-            hall: Data hall that it stands in.
+            hall: Its data hall.
 
         Returns:
             The instance.
--- a/src/lineworks/standins/shapes.py
+++ b/src/lineworks/standins/shapes.py
@@ -44,7 +44,7 @@
     """Name of the service that it serves."""
 
     hall: str
-    """Data hall that it stands in."""
+    """Data hall of the target."""
 
 
 def plan_targets(shape: Shape) -> list[PlannedTarget]:
