--- a/src/lineworks/models/node_settings.py
+++ b/src/lineworks/models/node_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process, in the product's own types."""
+"""Settings of an instance on the users' platform, independent of the platform's format."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Settings of one process of the production program."""
+    """Settings of one process of `lineworks-node`."""
 
     name: str
     """Unique name of the instance."""
@@ -68,8 +68,8 @@
     """Limit on requests that all instances together may admit beyond a workspace's quota."""
 
     revocation: access.RevocationPolicy = access.RevocationPolicy()
-    """Handling of API keys that may have been revoked while the instance had no contact with the
-    store."""
+    """Rules for API keys that may have been revoked while the instance's configuration could not be
+    refreshed."""
 
     gather_rate: float = 0.0
     """Shards per second that the instance can query for other instances; 0 if not known."""
--- a/src/lineworks/platform/settings.py
+++ b/src/lineworks/platform/settings.py
@@ -1,7 +1,8 @@
 """Decoder for the settings file that the platform writes for each process.
 
-The file is JSON if written with our template, otherwise YAML. The YAML parser is imported only for
-a file that is not JSON, because the import takes a twentieth of a process's start time.
+The file is JSON if it was written from this project's template, otherwise YAML. The YAML parser is
+imported only for a file that is not JSON, because the import takes a twentieth of a process's start
+time.
 """
 
 from __future__ import annotations
@@ -148,10 +149,10 @@
 
 
 def _gather_rate(limits: _fields.Fields) -> float:
-    """Estimate how many shards per second the machine can query.
+    """Estimate how many shards per second the instance can query.
 
-    The processor is a share of one core that runs several times as fast as a usual one, so the
-    share is multiplied by the number of cores.
+    The process gets a share (`CpuShare`) of one core that runs `CpuCores` times as fast as a usual
+    one, so its capacity in usual cores is the product of both.
     """
     processor = limits.number("CpuShare", 0.0) * limits.number("CpuCores", 0.0)
     return gather_rate.rate(processor, limits.number("LinkMbps", 0.0) * _MEGABIT)
