--- a/src/lineworks/forwarding/evidence_exchange.py
+++ b/src/lineworks/forwarding/evidence_exchange.py
@@ -28,7 +28,7 @@
 REPEAT_SECONDS = 1.0
 """Seconds before the same observation of a target is sent again."""
 
-MOST_NAMED = 6
+MAX_LOGGED_TARGETS = 6
 """Most targets that a log line names."""
 
 _log = structlog.get_logger(component="evidence")
@@ -154,5 +154,7 @@
         for peer in peers:
             self._links.send(peer, frame)
         self.counts["beliefs_told"] += len(observations)
-        named = [f"{one.target} {one.kind.name.lower()}" for one in observations[:MOST_NAMED]]
+        named = [
+            f"{one.target} {one.kind.name.lower()}" for one in observations[:MAX_LOGGED_TARGETS]
+        ]
         _log.info("targets_believed", count=len(observations), targets=named, told=len(peers))
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -257,10 +257,10 @@
             finish(found)
 
         is_trial = judgement is suspects.Judgement.TRIAL
-        guard = caution.CrashGuard(
+        crash_guard = caution.CrashGuard(
             self._shared.suspects, content, attempt.decode("latin-1"), is_trial
         )
-        work = self._make_work(request, route, call, guard, on_end)
+        work = self._make_work(request, route, call, crash_guard, on_end)
         on_caller_left = functools.partial(self._cancel, work, request, attempt, accessed)
 
         def on_admission(admission: quota_keeper.Admission) -> None:
@@ -310,18 +310,18 @@
         request: server_connection.Request,
         route: routes.Route,
         call: target_calls.TargetCall,
-        guard: caution.CrashGuard,
+        crash_guard: caution.CrashGuard,
         on_end: Callable[[outcome.Outcome], None],
     ) -> _Work:
         """Create the search, or the request to one target, according to the route."""
         if not route.is_search:
             service = self._round_robin.choose(route)
             return single.SingleRequest(
-                self._shared, route, service, call, guard, request.arrived, on_end
+                self._shared, route, service, call, crash_guard, request.arrived, on_end
             )
         lag = answer_time.answer_lag(self._shared.lags)
         due = answer_time.answer_due(request.arrived, route.slo, request.network_delay, lag)
-        return search.Search(self._shared, route, call, guard, due, request.arrived, on_end)
+        return search.Search(self._shared, route, call, crash_guard, due, request.arrived, on_end)
 
     def _start(self, work: _Work) -> None:
         self._under_way.add(work)
@@ -402,7 +402,7 @@
         route, workspace = accessed.route, accessed.workspace
         if self.is_over():
             # The process closes the connection, so the log must not blame the caller.
-            self._log.on_cut(request, attempt, route, work.known(), workspace)
+            self._log.on_cut(request, attempt, route, work.current_verdict(), workspace)
         else:
             self._log.on_caller_gone(request, attempt, route, workspace)
         work.cancel()
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -73,11 +73,11 @@
     """Timer of the query's deadline."""
     is_flushed: bool = False
     """Whether the flush time has passed."""
-    claim: fair_shares.WaitingRequest | None = None
+    waiting_request: fair_shares.WaitingRequest | None = None
     """Decides the order in the queue if workspaces share the slots; None if every query polls."""
     leave_queue: Callable[[], None] = lambda: None
     """Leaves the queue for free slots."""
-    has_broken_off: bool = False
+    has_lost_target: bool = False
     """Whether a target disconnected without an answer."""
     has_answer: bool = False
     """Whether a target ran the request and answered, even with an error."""
@@ -90,7 +90,7 @@
 
         This is so while targets have disconnected without an answer and none has answered.
         """
-        return self.has_broken_off and not self.has_answer
+        return self.has_lost_target and not self.has_answer
 
     @property
     def is_open(self) -> bool:
@@ -165,8 +165,10 @@
         )
         is_merging = self._merges and query.flush_at > now
         self._queue.is_fair = query.is_fair
-        claim = self._claim(query, now) if query.is_fair else None
-        job = _Job(origin, query, reply, call, is_merging=is_merging, claim=claim)
+        waiting_request = self._waiting_request(query, now) if query.is_fair else None
+        job = _Job(
+            origin, query, reply, call, is_merging=is_merging, waiting_request=waiting_request
+        )
         key = (origin, query.number)
         self._jobs[key] = job
         for shard in range(len(query.services)):
@@ -182,7 +184,9 @@
         else:
             self._close(key)
 
-    def _claim(self, query: node_frames.GatherQuery, now: float) -> fair_shares.WaitingRequest:
+    def _waiting_request(
+        self, query: node_frames.GatherQuery, now: float
+    ) -> fair_shares.WaitingRequest:
         """Return what decides a query's place in the queue for free slots."""
         usual = max(map(self._book.service_time, query.services))
         return fair_shares.WaitingRequest(
@@ -195,7 +199,9 @@
 
     def _must_yield(self, job: _Job, service: str) -> bool:
         """Return whether a queued job goes before this one at a service."""
-        return job.claim is not None and self._queue.has_waiter_ahead(job.claim, (service,))
+        return job.waiting_request is not None and self._queue.has_waiter_ahead(
+            job.waiting_request, (service,)
+        )
 
     def _start_shard(
         self, key: tuple[str, int], job: _Job, shard: int, now: float, is_its_turn: bool = False
@@ -233,9 +239,9 @@
         if not job.waiting:
             return
         poll = functools.partial(self._on_poll, key)
-        if job.claim is not None:
+        if job.waiting_request is not None:
             services = [job.query.services[shard] for shard in job.waiting]
-            job.leave_queue = self._queue.wait(job.claim, services, poll)
+            job.leave_queue = self._queue.wait(job.waiting_request, services, poll)
         else:
             job.poll_timer = self._reactor.callLater(SLOT_POLL_SECONDS, poll)
 
@@ -303,7 +309,7 @@
             job.failed[shard] = failure
             if end.lost_before_answer:
                 job.broken[shard] = target
-                job.has_broken_off = True
+                job.has_lost_target = True
             job.has_answer |= end.verdict.is_answered
             self._log_failure(job.query, job.query.services[shard], end.verdict)
         if not job.is_open:
--- a/src/lineworks/forwarding/request_log.py
+++ b/src/lineworks/forwarding/request_log.py
@@ -35,7 +35,7 @@
 answers that were not delivered. None are expected, but all would come at the same moment, so the
 burst allowance covers the requests that a process has in progress."""
 
-BROKE_OFF_LINES_PER_SECOND = 20.0
+LOST_TARGET_LINES_PER_SECOND = 20.0
 """Maximum lines per second for requests during which targets disconnected without an answer. This
 also happens when a host fails with all its targets."""
 
@@ -57,15 +57,15 @@
         self._over_limit = rate_limited_log.RateLimitedLog(
             reactor, "front", OVER_LIMIT_LINES_PER_SECOND
         )
-        self._broke_off = rate_limited_log.RateLimitedLog(
-            reactor, "front", BROKE_OFF_LINES_PER_SECOND
+        self._lost_target = rate_limited_log.RateLimitedLog(
+            reactor, "front", LOST_TARGET_LINES_PER_SECOND
         )
         self._cut = rate_limited_log.RateLimitedLog(reactor, "front", CUT_LINES_PER_SECOND)
 
     @property
     def left_out(self) -> int:
         """Number of lines suppressed since the process started."""
-        logs = (self._problems, self._normal, self._over_limit, self._broke_off, self._cut)
+        logs = (self._problems, self._normal, self._over_limit, self._lost_target, self._cut)
         return sum(log.suppressed_total for log in logs)
 
     def on_end(
@@ -127,7 +127,7 @@
                 attempts=found.over_limit[:MAX_LISTED],
             )
         if found.broken:
-            self._broke_off.info(
+            self._lost_target.info(
                 "targets_broke_off",
                 id=attempt.decode("latin-1"),
                 content=content,
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -98,7 +98,7 @@
             self._on_failure,
         )
         self._timers: list[Any] = []
-        self._is_aim_reached = False
+        self._is_due = False
         self._attempts.due = due
         self._hedges = search_hedges.SearchHedges(
             shared, route, self._shards, self._parts, call.workspace
@@ -107,7 +107,7 @@
         self._deferred: list[int] = []
         self._given_up: set[int] = set()
         usual_seconds = max(map(shared.book.service_time, route.shards), default=0.0)
-        self._claim = fair_shares.WaitingRequest(
+        self._waiting_request = fair_shares.WaitingRequest(
             call.workspace,
             route.priority,
             arrived,
@@ -123,7 +123,7 @@
         for shard in self._shards:
             shared.extra.note_request(shard.service, now)
         self._set_timer(self._call.deadline - now, self._on_deadline)
-        if shared.queue.has_waiter_ahead(self._claim, self._route.shards):
+        if shared.queue.has_waiter_ahead(self._waiting_request, self._route.shards):
             self._wait_for_slots()
         else:
             self._begin()
@@ -154,7 +154,7 @@
         self._hedges.start(now, self._due)
         self._attempts.hedge_at = now + self._hedges.remote_delay
         if mechanisms.Mechanism.EARLY_ANSWER not in shared.without:
-            self._set_timer(self._due - now, self._on_aim)
+            self._set_timer(self._due - now, self._on_due)
         self._dispatch(chosen, is_hedge=False)
         if self._on_end is None:
             return
@@ -192,7 +192,7 @@
         reachable = sum(1 for shard in self._shards if self._has_known_target(shard))
         queue = self._shared.queue
         is_off = mechanisms.Mechanism.ROOM_WAIT in self._shared.without
-        may_wait = not is_off and not queue.is_too_late(self._claim, now)
+        may_wait = not is_off and not queue.is_too_late(self._waiting_request, now)
         last = self._arrived + SLOT_WAIT_SHARE * self._route.slo - SLOT_POLL_SECONDS
         if may_wait and reachable >= self._needed and now < min(last, self._call.deadline):
             self._wait_for_slots()
@@ -209,14 +209,14 @@
         """Schedule another attempt to begin, in queue order if workspaces share the slots."""
         queue = self._shared.queue
         if queue.is_fair:
-            self._leave_queue = queue.wait(self._claim, self._route.shards, self._begin)
+            self._leave_queue = queue.wait(self._waiting_request, self._route.shards, self._begin)
         else:
             self._set_timer(SLOT_POLL_SECONDS, self._begin)
 
     def _has_known_target(self, shard: search_state.Shard) -> bool:
         return self._shared.book.has_target(shard.service, self._route.homes)
 
-    def known(self) -> verdict.Verdict:
+    def current_verdict(self) -> verdict.Verdict:
         """Return the verdict for a search that the shutdown of this process interrupts."""
         found = self._coverage_verdict()
         return dataclasses.replace(found, reason=verdict.Reason.LEAVING)
@@ -233,7 +233,9 @@
         else:
             self._attempts.cancel_direct_attempts()
             self._end(
-                outcome.refuse(self.known(), self._attempts.count, outcome.SHUTDOWN_RETRY_AFTER)
+                outcome.refuse(
+                    self.current_verdict(), self._attempts.count, outcome.SHUTDOWN_RETRY_AFTER
+                )
             )
 
     def cancel(self) -> None:
@@ -450,8 +452,8 @@
             self._shared.log_hedges(self._call, now - self._arrived, pairs)
             self._dispatch(hedged, is_hedge=True)
 
-    def _on_aim(self) -> None:
-        self._is_aim_reached = True
+    def _on_due(self) -> None:
+        self._is_due = True
         self._finish_if_done()
         if self._on_end is None:
             lag = self._shared.reactor.seconds() - self._due
@@ -475,7 +477,7 @@
         # result would make the total work quadratic in the number of shards.
         given_up = len(self._given_up - self._parts.covered) if self._given_up else 0
         open_shards = len(self._shards) - covered - given_up
-        if not self._parts.missing or (is_enough and (self._is_aim_reached or not open_shards)):
+        if not self._parts.missing or (is_enough and (self._is_due or not open_shards)):
             self._finish()
         elif covered + open_shards < self._needed:
             self._finish_incomplete()
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -28,7 +28,7 @@
 until the deadline: while two instances of a hall were frozen, a search failed at its deadline of
 two seconds because no extra attempts were left at the time when it requested them."""
 
-HEDGE_ROUNDS_BEFORE_AIM = 2.0
+HEDGE_ROUNDS_BEFORE_DUE = 2.0
 """Number of consecutive hedges that should still fit before the answer is due."""
 
 MAX_HEDGE_DELAY_SHARE = 0.5
@@ -65,7 +65,7 @@
         self._workspace = workspace
         self._needed = parts.required_shards(len(shards), route.min_coverage)
         self._started_at = 0.0
-        self._aim_at = 0.0
+        self._due = 0.0
         self._rechecks = 0
         self._without_budget: list[str] = []
         self._is_incomplete = False
@@ -78,7 +78,7 @@
         self.is_started = False
         """Whether the search has begun to query all shards, after any trial."""
 
-    def start(self, now: float, aim_at: float) -> None:
+    def start(self, now: float, due: float) -> None:
         """Compute the hedge delays for attempts that are sent now.
 
         Args:
@@ -87,7 +87,7 @@
         """
         self.is_started = True
         self._started_at = now
-        self._aim_at = aim_at
+        self._due = due
         self.local_delay = self._delay(False)
         self.remote_delay = self._delay(True)
 
@@ -151,9 +151,9 @@
         themselves in that time.
         """
         hedge_seconds = self._shared.book.usual_answer(shard.service for shard in self._shards)
-        left = self._aim_at - self._started_at
+        left = self._due - self._started_at
         latest = min(
-            MAX_HEDGE_DELAY_SHARE * self._route.slo, left - HEDGE_ROUNDS_BEFORE_AIM * hedge_seconds
+            MAX_HEDGE_DELAY_SHARE * self._route.slo, left - HEDGE_ROUNDS_BEFORE_DUE * hedge_seconds
         )
         return max(self._usual_delay(is_remote), latest)
 
@@ -194,7 +194,7 @@
             shard.not_hedged = reason.NO_TARGET if is_left else reason.LIMIT
             return None
         is_enough = len(self._received.covered) >= self._needed
-        if is_enough and now + book.min_seconds(state) > self._aim_at:
+        if is_enough and now + book.min_seconds(state) > self._due:
             shard.not_hedged = search_state.NotHedged.TOO_LATE
             return None
         reserve = extra_attempts.RESERVED_FOR_RETRIES
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -23,10 +23,10 @@
     from lineworks.forwarding import caution, front_services, target_state
     from lineworks.http1 import client_connection
 
-ROOM_PAUSE = 0.02
+SLOT_POLL_SECONDS = 0.02
 """Seconds between attempts to find a target with spare capacity."""
 
-WAIT_SHARE = 0.2
+SLOT_WAIT_SHARE = 0.2
 """Fraction of the route's latency objective for which a request waits for a target with spare
 capacity before it is refused: a refusal within a quarter of the objective still leaves time for
 another try."""
@@ -44,7 +44,7 @@
         route: routes.Route,
         service: str,
         call: target_calls.TargetCall,
-        guard: caution.CrashGuard,
+        crash_guard: caution.CrashGuard,
         arrived: float,
         on_end: Callable[[outcome.Outcome], None],
     ) -> None:
@@ -63,7 +63,7 @@
         self._route = route
         self._service = service
         self._call = call
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._arrived = arrived
         self._on_end: Callable[[outcome.Outcome], None] | None = on_end
         self._made: list[attempts.Attempt] = []
@@ -75,14 +75,14 @@
         self._failures: list[str] = []
         self._failure: client_connection.Response | None = None
         self._target = ""
-        self._claim = fair_shares.WaitingRequest(
+        self._waiting_request = fair_shares.WaitingRequest(
             call.workspace,
             route.priority,
             arrived,
             fair_shares.latest_start(arrived + route.slo, shared.book.service_time(service)),
             call.has_quota,
         )
-        self._leave_line: Callable[[], None] = lambda: None
+        self._leave_queue: Callable[[], None] = lambda: None
 
     def start(self) -> None:
         """Send the first attempt, or wait for spare capacity."""
@@ -90,8 +90,8 @@
         now = shared.reactor.seconds()
         shared.extra.note_request(self._service, now)
         self._set_timer(self._call.deadline - now, self._on_deadline)
-        if shared.queue.has_waiter_ahead(self._claim, (self._service,)):
-            self._wait_for_capacity()
+        if shared.queue.has_waiter_ahead(self._waiting_request, (self._service,)):
+            self._wait_for_slot()
         else:
             self._send_or_wait()
         is_hedged = mechanisms.Mechanism.READ_HEDGES not in shared.without
@@ -99,7 +99,7 @@
             delay = shared.hedges.delay(self._route.name, False, self._route.slo)
             self._set_timer(delay, self._on_hedge)
 
-    def known(self) -> verdict.Verdict:
+    def current_verdict(self) -> verdict.Verdict:
         """Return a verdict on the request while it is under way."""
         count = len(self._made)
         detail = f"{count} attempts, {len(self._running)} of them not answered"
@@ -113,7 +113,9 @@
             self._return_response(self._failure, self._verdicts[-1])
             return
         self._give_up_running()
-        found = outcome.refuse(self.known(), len(self._made), outcome.SHUTDOWN_RETRY_AFTER)
+        found = outcome.refuse(
+            self.current_verdict(), len(self._made), outcome.SHUTDOWN_RETRY_AFTER
+        )
         self._end(found)
 
     def cancel(self) -> None:
@@ -122,7 +124,7 @@
         A request that may run only once continues on its target, so that it completes there.
         """
         self._on_end = None
-        self._guard.finish()
+        self._crash_guard.finish()
         self._stop(cancels_attempts=self._call.is_repeatable)
 
     def _set_timer(self, delay: float, call: Callable[[], None]) -> None:
@@ -140,11 +142,11 @@
         if state is not None:
             self._send(state, now, is_hedge=False)
         elif self._may_wait(now):
-            self._wait_for_capacity()
+            self._wait_for_slot()
         else:
-            self._refuse_without_capacity(now)
+            self._refuse_without_slot(now)
 
-    def _refuse_without_capacity(self, now: float) -> None:
+    def _refuse_without_slot(self, now: float) -> None:
         shared = self._shared
         if not self._made:
             shared.queue.note_refused(self._call.workspace)
@@ -153,22 +155,24 @@
         pause = shared.queue.retry_after(outcome.RETRY_AFTER)
         self._finish_without(found.reason, found.detail, pause)
 
-    def _wait_for_capacity(self) -> None:
+    def _wait_for_slot(self) -> None:
         """Try again soon, or in turn if capacity is shared fairly between workspaces."""
         queue = self._shared.queue
         if queue.is_fair:
-            self._leave_line = queue.wait(self._claim, (self._service,), self._send_or_wait)
+            self._leave_queue = queue.wait(
+                self._waiting_request, (self._service,), self._send_or_wait
+            )
         else:
-            self._set_timer(ROOM_PAUSE, self._send_or_wait)
+            self._set_timer(SLOT_POLL_SECONDS, self._send_or_wait)
 
     def _may_wait(self, now: float) -> bool:
         if mechanisms.Mechanism.ROOM_WAIT in self._shared.without:
             return False
-        if self._shared.queue.is_too_late(self._claim, now):
+        if self._shared.queue.is_too_late(self._waiting_request, now):
             return False
         if not self._has_target():
             return False
-        last = self._arrived + WAIT_SHARE * self._route.slo - ROOM_PAUSE
+        last = self._arrived + SLOT_WAIT_SHARE * self._route.slo - SLOT_POLL_SECONDS
         return now < min(last, self._call.deadline)
 
     def _send(self, state: target_state.TargetState, now: float, is_hedge: bool) -> None:
@@ -185,7 +189,7 @@
     def _on_call_end(self, attempt: attempts.Attempt, end: target_calls.CallEnd) -> None:
         self._running.remove(attempt)
         attempt.end = end.verdict
-        self._guard.note_end(attempt.state.id, end.lost_before_answer, end.verdict)
+        self._crash_guard.note_end(attempt.state.id, end.lost_before_answer, end.verdict)
         if self._on_end is None:
             return
         if end.verdict.is_ok and end.response is not None:
@@ -223,14 +227,14 @@
         now = shared.reactor.seconds()
         if not last.is_not_run and not self._call.is_repeatable:
             return False
-        if self._guard.has_reached_loss_limit:
+        if self._crash_guard.has_reached_loss_limit:
             # The request itself may be what crashes its targets.
             return False
         if not attempts.has_target_left(self._made, self._route.max_attempts):
             # Only targets that have just failed are left: the caller gets the failure at once
             # rather than after a retry on them.
             return False
-        if len(self._made) >= MAX_ATTEMPTS or now + ROOM_PAUSE >= self._call.deadline:
+        if len(self._made) >= MAX_ATTEMPTS or now + SLOT_POLL_SECONDS >= self._call.deadline:
             return False
         return self._has_target()
 
@@ -271,7 +275,7 @@
         """Send a hedge to a second target while the first one is slow."""
         if self._on_end is None or len(self._running) != 1:
             return
-        if self._guard.is_trial or self._guard.blocks_retries:
+        if self._crash_guard.is_trial or self._crash_guard.blocks_retries:
             return
         shared = self._shared
         now = shared.reactor.seconds()
@@ -322,7 +326,7 @@
     def _end(self, found: outcome.Outcome) -> None:
         on_end = self._on_end
         self._on_end = None
-        self._guard.finish()
+        self._crash_guard.finish()
         self._stop(cancels_attempts=True)
         if on_end is not None:
             described = dataclasses.replace(
@@ -330,8 +334,8 @@
                 target=self._target,
                 failures=tuple(self._failures),
                 over_limit=self._over_limit(),
-                broken=self._guard.broken,
-                is_answered=self._guard.is_answered,
+                broken=self._crash_guard.broken,
+                is_answered=self._crash_guard.is_answered,
             )
             on_end(described)
 
@@ -346,7 +350,7 @@
             if timer.active():
                 timer.cancel()
         self._timers.clear()
-        self._leave_line()
+        self._leave_queue()
         if cancels_attempts:
             self._give_up_running()
 
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -24,7 +24,7 @@
 SLOW_FACTOR = 2.0
 """A call given up after this multiple of the usual service time counts against its target."""
 
-LINES_PER_SECOND = 5.0
+MAX_LOG_LINES_PER_SECOND = 5.0
 """Most log lines a second about targets that are avoided or answer again."""
 
 
@@ -41,7 +41,7 @@
         """
         self._book = book
         self._rng = rng
-        self._log = rate_limited_log.RateLimitedLog(clock, "targets", LINES_PER_SECOND)
+        self._log = rate_limited_log.RateLimitedLog(clock, "targets", MAX_LOG_LINES_PER_SECOND)
 
     @property
     def lines_left_out(self) -> int:
--- a/src/lineworks/forwarding/wait_queue.py
+++ b/src/lineworks/forwarding/wait_queue.py
@@ -21,7 +21,7 @@
 class _Waiter:
     """A request in the queue."""
 
-    claim: fair_shares.WaitingRequest
+    waiting_request: fair_shares.WaitingRequest
     """Determines its position in the queue."""
 
     services: frozenset[str]
@@ -78,7 +78,7 @@
         if self.is_fair:
             self.shares.note_refused(workspace, self._reactor.seconds())
 
-    def is_too_late(self, claim: fair_shares.WaitingRequest, now: float) -> bool:
+    def is_too_late(self, waiting_request: fair_shares.WaitingRequest, now: float) -> bool:
         """Return whether it is pointless to wait any longer.
 
         Args:
@@ -89,10 +89,10 @@
             Whether fair sharing is on, and the request would usually be late even if it were sent
             now.
         """
-        return self.is_fair and not claim.can_finish_in_time(now)
+        return self.is_fair and not waiting_request.can_finish_in_time(now)
 
     def has_waiter_ahead(
-        self, claim: fair_shares.WaitingRequest, services: Collection[str]
+        self, waiting_request: fair_shares.WaitingRequest, services: Collection[str]
     ) -> bool:
         """Return whether a new request would overtake a waiting request that goes before it.
 
@@ -108,13 +108,13 @@
         now = self._reactor.seconds()
         return any(
             not waiter.services.isdisjoint(services)
-            and self.shares.precedes(waiter.claim, claim, now)
+            and self.shares.precedes(waiter.waiting_request, waiting_request, now)
             for waiter in self._waiters
         )
 
     def wait(
         self,
-        claim: fair_shares.WaitingRequest,
+        waiting_request: fair_shares.WaitingRequest,
         services: Collection[str],
         retry: Callable[[], None],
     ) -> Callable[[], None]:
@@ -129,7 +129,7 @@
         Returns:
             A function that leaves the queue.
         """
-        waiter = _Waiter(claim, frozenset(services), retry)
+        waiter = _Waiter(waiting_request, frozenset(services), retry)
         self._waiters.append(waiter)
         if self._timer is None:
             self._timer = self._reactor.callLater(self._retry_seconds, self._retry_all)
@@ -157,8 +157,8 @@
         self._timer = None
         waiting, self._waiters = self._waiters, []
         now = self._reactor.seconds()
-        claims = [waiter.claim for waiter in waiting]
-        ordered = [waiting[number] for number in self.shares.order(claims, now)]
+        waiting_requests = [waiter.waiting_request for waiter in waiting]
+        ordered = [waiting[number] for number in self.shares.order(waiting_requests, now)]
         # A request that leaves the queue while others are retried must not be retried.
         self._waiters = ordered
         for waiter in list(ordered):
