--- a/src/lineworks/forwarding/attempts.py
+++ b/src/lineworks/forwarding/attempts.py
@@ -22,7 +22,7 @@
 GIVEN_UP = verdict.may_have_run(verdict.Reason.CANCELLED, "given up")
 """Verdict on an attempt that was given up: its target learns of that later, or never."""
 
-UNDER_WAY = verdict.may_have_run(verdict.Reason.CANCELLED, "under way")
+IN_PROGRESS = verdict.may_have_run(verdict.Reason.CANCELLED, "under way")
 """Verdict on an attempt that has not ended."""
 
 UNSENT = verdict.not_run(verdict.Reason.UNREACHABLE, "given up before a connection was open")
@@ -90,7 +90,7 @@
     Returns:
         The combined certainty of their verdicts; an attempt under way may have run.
     """
-    return verdict.combine([one.end or UNDER_WAY for one in made])
+    return verdict.combine([one.end or IN_PROGRESS for one in made])
 
 
 def known_targets(made: Iterable[Attempt]) -> frozenset[str]:
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -68,7 +68,7 @@
         self._awaiting_quota: dict[_Work, Callable[[], None]] = {}
         self._table: routes.RouteTable | None = None
         self._round_robin = routes.WeightedRoundRobin()
-        self._under_way: set[_Work] = set()
+        self._in_progress: set[_Work] = set()
         self._waiting: dict[Callable[[], None], Callable[[], None]] = {}
         self.is_complete: Callable[[], bool] = lambda: True
         """Returns whether the configuration and the targets are known."""
@@ -87,7 +87,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no request is in progress, held or waiting for quota."""
-        return not self._under_way and not self._waiting and not self._awaiting_quota
+        return not self._in_progress and not self._waiting and not self._awaiting_quota
 
     @property
     def is_mostly_refusing(self) -> bool:
@@ -120,10 +120,10 @@
         Returns:
             Number of requests.
         """
-        count = len(self._under_way) + len(self._waiting) + len(self._awaiting_quota)
+        count = len(self._in_progress) + len(self._waiting) + len(self._awaiting_quota)
         for give_up in [*self._waiting.values(), *self._awaiting_quota.values()]:
             give_up()
-        for work in list(self._under_way):
+        for work in list(self._in_progress):
             work.end()
         return count
 
@@ -246,12 +246,12 @@
             workspace=workspace.name if workspace is not None else "",
             has_quota=workspace is not None and workspace.quota is not None,
         )
-        give_back: Callable[[], None] | None = None
+        return_token: Callable[[], None] | None = None
 
         def on_end(found: outcome.Outcome) -> None:
-            self._under_way.discard(work)
-            if give_back is not None and found.verdict.is_not_run:
-                give_back()
+            self._in_progress.discard(work)
+            if return_token is not None and found.verdict.is_not_run:
+                return_token()
             is_refused = found.verdict.reason is verdict.Reason.NO_REPLICA
             self._refused_share.record(1.0 if is_refused else 0.0)
             finish(found)
@@ -264,10 +264,10 @@
         on_caller_left = functools.partial(self._cancel, work, request, attempt, accessed)
 
         def on_admission(admission: quota_keeper.Admission) -> None:
-            nonlocal give_back
+            nonlocal return_token
             self._awaiting_quota.pop(work, None)
             if admission.refusal is None:
-                give_back = admission.give_back
+                return_token = admission.return_token
                 self._start(work)
                 return
             finish(outcome.refuse(admission.refusal, retry_after=admission.retry_after))
@@ -277,7 +277,7 @@
             return on_caller_left
         withdraw = self._shared.quotas.admit(workspace, on_admission, deadline)
         if withdraw is None:
-            return on_caller_left if work in self._under_way else None
+            return on_caller_left if work in self._in_progress else None
         return self._await_quota(work, withdraw, on_admission, on_caller_left)
 
     def _refuse_early(
@@ -324,7 +324,7 @@
         return search.Search(self._shared, route, call, crash_guard, due, request.arrived, on_end)
 
     def _start(self, work: _Work) -> None:
-        self._under_way.add(work)
+        self._in_progress.add(work)
         work.start()
 
     def _await_quota(
@@ -398,7 +398,7 @@
         attempt: bytes,
         accessed: access.AccessDecision,
     ) -> None:
-        self._under_way.discard(work)
+        self._in_progress.discard(work)
         route, workspace = accessed.route, accessed.workspace
         if self.is_over():
             # The process closes the connection, so the log must not blame the caller.
--- a/src/lineworks/forwarding/front_services.py
+++ b/src/lineworks/forwarding/front_services.py
@@ -23,10 +23,10 @@
     )
     from lineworks.kernel import rate_limited_log
 
-HEDGE_LINES_PER_SECOND = 10.0
+MAX_HEDGE_LINES_PER_SECOND = 10.0
 """Maximum number of log lines per second for hedges."""
 
-MAX_HEDGES_PER_LINE = 6
+MAX_LOGGED_HEDGES = 6
 """Maximum number of hedges that one log line lists."""
 
 HEDGE_QUANTILE = 0.8
@@ -221,7 +221,7 @@
         """
         named = [
             f"{late.replica.target.service}: {late.id}, now {other.id}"
-            for late, other in pairs[:MAX_HEDGES_PER_LINE]
+            for late, other in pairs[:MAX_LOGGED_HEDGES]
         ]
         self.log.info(
             "hedge",
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -31,7 +31,7 @@
 SLOT_POLL_SECONDS = 0.005
 """Seconds between checks for a free slot at full targets: a sixth of a typical service time."""
 
-FAILURE_LINES_PER_SECOND = 10.0
+MAX_FAILURE_LINES_PER_SECOND = 10.0
 """Maximum log lines per second for failed attempts."""
 
 _FAILURE_BY_CERTAINTY = {
@@ -126,7 +126,9 @@
         self._calls = calls
         self._jobs: dict[tuple[str, int], _Job] = {}
         self._queue = wait_queue.WaitQueue(reactor, SLOT_POLL_SECONDS)
-        self._log = rate_limited_log.RateLimitedLog(reactor, "gatherer", FAILURE_LINES_PER_SECOND)
+        self._log = rate_limited_log.RateLimitedLog(
+            reactor, "gatherer", MAX_FAILURE_LINES_PER_SECOND
+        )
 
     @property
     def is_idle(self) -> bool:
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -64,7 +64,7 @@
 """Age of the data about targets, in seconds, after which an instance that refuses most requests for
 lack of targets counts as not ready: it is cut off, and others may have newer data."""
 
-MAX_TARGETS_PER_LINE = 8
+MAX_LOGGED_TARGETS = 8
 """Maximum number of targets that one log line lists."""
 
 _log = structlog.get_logger(component="node")
@@ -183,7 +183,7 @@
             front_services.HedgeTimes(),
             self._counters,
             rate_limited_log.RateLimitedLog(
-                reactor, "hedges", front_services.HEDGE_LINES_PER_SECOND
+                reactor, "hedges", front_services.MAX_HEDGE_LINES_PER_SECOND
             ),
             wait_queue.WaitQueue(reactor, search.SLOT_POLL_SECONDS, self._rng.random),
             without,
@@ -384,9 +384,7 @@
         ):
             if states:
                 named = [f"{state.replica.target.service}/{state.id}" for state in states]
-                _log.info(
-                    kind, count=len(named), targets=named[:MAX_TARGETS_PER_LINE], view_age=age
-                )
+                _log.info(kind, count=len(named), targets=named[:MAX_LOGGED_TARGETS], view_age=age)
         self._resume_held_requests()
 
     def _update_evacuated(self, halls: frozenset[str]) -> None:
@@ -475,9 +473,9 @@
             },
             "lineworks_log_lines": {
                 "left_out": float(
-                    self._request_log.left_out
-                    + self._learning.lines_left_out
-                    + self._quotas.lines_left_out
+                    self._request_log.suppressed_lines
+                    + self._learning.suppressed_lines
+                    + self._quotas.suppressed_lines
                 ),
                 "dropped": float(self.lines_dropped()),
             },
--- a/src/lineworks/forwarding/quota_keeper.py
+++ b/src/lineworks/forwarding/quota_keeper.py
@@ -46,7 +46,7 @@
 """Maximum number of log lines per second for refusals."""
 
 
-def _give_nothing_back() -> None:
+def _return_no_token() -> None:
     """Do nothing, because there is no token to return."""
 
 
@@ -60,12 +60,12 @@
     retry_after: float = 0.0
     """Seconds after which its caller may retry, if it was refused."""
 
-    give_back: Callable[[], None] = _give_nothing_back
+    return_token: Callable[[], None] = _return_no_token
     """Returns the token of a request that was admitted and certainly did not run."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Question:
+class _PendingRequest:
     """A request that waits for a holder's decision."""
 
     workspace: str
@@ -130,7 +130,7 @@
         self._log = rate_limited_log.RateLimitedLog(reactor, "quotas", MAX_LOG_LINES_PER_SECOND)
         self._numbers = itertools.count(1)
         self._version = 0
-        self._questions: dict[int, _Question] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         # Recent grants to other instances: workspace and time in seconds by (process, number).
         self._grants: collections.OrderedDict[tuple[str, int], tuple[str, float]] = (
             collections.OrderedDict()
@@ -155,7 +155,7 @@
         return self._ranks
 
     @property
-    def lines_left_out(self) -> int:
+    def suppressed_lines(self) -> int:
         """Number of log lines that were suppressed."""
         return self._log.suppressed_total
 
@@ -191,154 +191,157 @@
             on_end(Admission())
             return None
         self.counts["asked"] += 1
-        question = _Question(workspace.name, on_end, deadline)
-        self._ask_next(question)
-        if question.is_over:
+        pending = _PendingRequest(workspace.name, on_end, deadline)
+        self._ask_next(pending)
+        if pending.is_over:
             return None
 
         def withdraw() -> None:
-            if not question.is_over:
+            if not pending.is_over:
                 self.counts["withdrawn"] += 1
-                self._close(question)
+                self._close(pending)
 
         return withdraw
 
-    def _ask_next(self, question: _Question) -> None:
+    def _ask_next(self, pending: _PendingRequest) -> None:
         """Ask the highest-ranked holder that has not been asked yet."""
         now = self._reactor.seconds()
-        name = self._choose_holder(question)
-        if name is None or now >= question.until:
-            self._refuse_unsure(question)
+        name = self._choose_holder(pending)
+        if name is None or now >= pending.until:
+            self._refuse_unsure(pending)
             return
-        question.tried.append(name)
-        question.sent_at = now
+        pending.tried.append(name)
+        pending.sent_at = now
         if name == self._name:
-            self._ask_own(question)
+            self._ask_own(pending)
             return
-        question.number = next(self._numbers)
-        self._questions[question.number] = question
-        ask = node_frames.QuotaAsk(question.number, question.workspace, self._version)
+        pending.number = next(self._numbers)
+        self._pending[pending.number] = pending
+        ask = node_frames.QuotaAsk(pending.number, pending.workspace, self._version)
         if not self._links.send(name, ask):
-            del self._questions[question.number]
-            self._ask_next(question)
+            del self._pending[pending.number]
+            self._ask_next(pending)
             return
-        wait = min(ASK_TIMEOUT_SECONDS, question.until - now)
-        question.timer = self._reactor.callLater(wait, self._on_timeout, question)
+        wait = min(ASK_TIMEOUT_SECONDS, pending.until - now)
+        pending.timer = self._reactor.callLater(wait, self._on_timeout, pending)
 
-    def _choose_holder(self, question: _Question) -> str | None:
+    def _choose_holder(self, pending: _PendingRequest) -> str | None:
         """Return the next holder to ask: those of this hall, then one of another hall.
 
         Without the latter, a hall that lost all its holders at once would refuse every request
         until they are removed from the membership list.
         """
-        if len(question.tried) < MAX_ASKS:
-            for name in self._ranks.holders(question.workspace):
-                if name not in question.tried:
+        if len(pending.tried) < MAX_ASKS:
+            for name in self._ranks.holders(pending.workspace):
+                if name not in pending.tried:
                     return name
-        if question.asked_remote:
+        if pending.asked_remote:
             return None
-        question.asked_remote = True
-        return self._ranks.any_remote_holder(question.workspace)
+        pending.asked_remote = True
+        return self._ranks.any_remote_holder(pending.workspace)
 
-    def _ask_own(self, question: _Question) -> None:
+    def _ask_own(self, pending: _PendingRequest) -> None:
         """Ask the holder of this instance directly, without a message."""
 
         def reply(answer: quota_holder.Answer) -> None:
-            question.withdraw_own = None
+            pending.withdraw_own = None
             self._take_answer(
-                question,
+                pending,
                 answer,
-                lambda: self._holder.put_back(question.workspace, answer.granted_at),
+                lambda: self._holder.put_back(pending.workspace, answer.granted_at),
             )
 
-        withdraw = self._holder.ask(question.workspace, self._version, reply)
-        if not question.is_over:
-            question.withdraw_own = withdraw
+        withdraw = self._holder.ask(pending.workspace, self._version, reply)
+        if not pending.is_over:
+            pending.withdraw_own = withdraw
 
     def _take_answer(
-        self, question: _Question, answer: quota_holder.Answer, give_back: Callable[[], None]
+        self,
+        pending: _PendingRequest,
+        answer: quota_holder.Answer,
+        return_token: Callable[[], None],
     ) -> None:
-        """Handle a holder's answer; `give_back` returns the token that it granted."""
+        """Handle a holder's answer; `return_token` returns the token that it granted."""
         if answer.decision is quota.Decision.UNSURE:
             self.counts["not_held"] += 1
-            self._ask_next(question)
+            self._ask_next(pending)
         elif answer.decision is quota.Decision.GRANTED:
             self.counts["admitted"] += 1
-            self._end(question, Admission(give_back=give_back))
+            self._end(pending, Admission(return_token=return_token))
         else:
             found = verdict.not_run(
-                verdict.Reason.OVER_QUOTA, f"workspace {question.workspace} is over its quota"
+                verdict.Reason.OVER_QUOTA, f"workspace {pending.workspace} is over its quota"
             )
-            self._refuse(question, found, answer.retry_after)
+            self._refuse(pending, found, answer.retry_after)
 
-    def _refuse_unsure(self, question: _Question) -> None:
-        tried = ", ".join(question.tried) or "nobody"
+    def _refuse_unsure(self, pending: _PendingRequest) -> None:
+        tried = ", ".join(pending.tried) or "nobody"
         found = verdict.not_run(
             verdict.Reason.QUOTA_UNSURE,
-            f"no holder of the quota of workspace {question.workspace} answers; asked {tried}",
+            f"no holder of the quota of workspace {pending.workspace} answers; asked {tried}",
         )
-        self._refuse(question, found, UNSURE_RETRY_AFTER)
+        self._refuse(pending, found, UNSURE_RETRY_AFTER)
 
-    def _refuse(self, question: _Question, found: verdict.Verdict, retry_after: float) -> None:
+    def _refuse(self, pending: _PendingRequest, found: verdict.Verdict, retry_after: float) -> None:
         reason = found.reason.value
         self.counts[reason] += 1
-        key = (question.workspace, reason)
+        key = (pending.workspace, reason)
         if key not in self.refusals and len(self.refusals) >= MAX_NAMED_WORKSPACES:
             key = (OTHER_WORKSPACES, reason)
         self.refusals[key] = self.refusals.get(key, 0) + 1
         self._log.info(
             "quota_refused",
-            workspace=question.workspace,
+            workspace=pending.workspace,
             reason=reason,
-            asked=list(question.tried),
+            asked=list(pending.tried),
             retry_after=round(retry_after, 2),
         )
-        self._end(question, Admission(found, retry_after))
+        self._end(pending, Admission(found, retry_after))
 
-    def _end(self, question: _Question, admission: Admission) -> None:
-        self._close(question)
-        question.on_end(admission)
+    def _end(self, pending: _PendingRequest, admission: Admission) -> None:
+        self._close(pending)
+        pending.on_end(admission)
 
-    def _close(self, question: _Question) -> None:
+    def _close(self, pending: _PendingRequest) -> None:
         """Stop waiting for a decision."""
-        question.is_over = True
-        self._questions.pop(question.number, None)
-        if question.timer is not None and question.timer.active():
-            question.timer.cancel()
-        if question.withdraw_own is not None:
-            question.withdraw_own()
-            question.withdraw_own = None
-
-    def _on_timeout(self, question: _Question) -> None:
+        pending.is_over = True
+        self._pending.pop(pending.number, None)
+        if pending.timer is not None and pending.timer.active():
+            pending.timer.cancel()
+        if pending.withdraw_own is not None:
+            pending.withdraw_own()
+            pending.withdraw_own = None
+
+    def _on_timeout(self, pending: _PendingRequest) -> None:
         """Mark a holder that did not answer as silent, and ask the next one."""
         self.counts["unanswered"] += 1
-        del self._questions[question.number]
-        self._peers.mark_silent(question.tried[-1])
-        self._ask_next(question)
+        del self._pending[pending.number]
+        self._peers.mark_silent(pending.tried[-1])
+        self._ask_next(pending)
 
     def _on_down(self, name: str) -> None:
         """Ask the next holder about the requests that an unreachable one was deciding."""
-        lost = [one for one in self._questions.values() if one.tried[-1] == name]
-        for question in lost:
-            if not question.is_over:
-                self._questions.pop(question.number, None)
-                question.timer.cancel()
-                self._ask_next(question)
+        lost = [one for one in self._pending.values() if one.tried[-1] == name]
+        for pending in lost:
+            if not pending.is_over:
+                self._pending.pop(pending.number, None)
+                pending.timer.cancel()
+                self._ask_next(pending)
 
     def _on_grant(self, link: Any, frame: node_frames.QuotaGrant) -> None:
-        question = self._questions.get(frame.number)
+        pending = self._pending.get(frame.number)
         now = self._reactor.seconds()
-        is_awaited = question is not None and question.tried[-1] == link.hello.name
+        is_awaited = pending is not None and pending.tried[-1] == link.hello.name
         is_granted = frame.decision is quota.Decision.GRANTED
-        if question is None or not is_awaited or now - question.sent_at > ASK_TIMEOUT_SECONDS:
+        if pending is None or not is_awaited or now - pending.sent_at > ASK_TIMEOUT_SECONDS:
             # The caller disconnected, the answer is late, or another holder has been asked since.
             if is_granted:
                 link.send(node_frames.QuotaReturn(frame.number))
             return
-        del self._questions[frame.number]
-        question.timer.cancel()
+        del self._pending[frame.number]
+        pending.timer.cancel()
         self._take_answer(
-            question,
+            pending,
             quota_holder.Answer(frame.decision, frame.retry_after),
             lambda: link.send(node_frames.QuotaReturn(frame.number)),
         )
--- a/src/lineworks/forwarding/request_log.py
+++ b/src/lineworks/forwarding/request_log.py
@@ -16,26 +16,26 @@
     from lineworks.forwarding import metrics, outcome
     from lineworks.http1 import server_connection
 
-PROBLEM_LINES_PER_SECOND = 40.0
+MAX_PROBLEM_LINES_PER_SECOND = 40.0
 """Maximum lines per second for requests that failed, were refused, were late or returned partial
 results."""
 
-MAX_LISTED = 6
+MAX_LOGGED_ENTRIES = 6
 """Maximum number of entries in each list of a line, such as missing shards or failed attempts."""
 
-NORMAL_LINES_PER_SECOND = 0.5
+MAX_NORMAL_LINES_PER_SECOND = 0.5
 """Maximum lines per second for all other requests, as a sample for comparison."""
 
-OVER_LIMIT_LINES_PER_SECOND = 20.0
+MAX_OVER_LIMIT_LINES_PER_SECOND = 20.0
 """Maximum lines per second for requests that may have run on more targets than their route allows.
 None are expected, so they have a limit of their own: other lines must not crowd them out."""
 
-CUT_LINES_PER_SECOND = 100.0
+MAX_CUT_LINES_PER_SECOND = 100.0
 """Maximum lines per second for requests that the shutdown of the process interrupted, and for
 answers that were not delivered. None are expected, but all would come at the same moment, so the
 burst allowance covers the requests that a process has in progress."""
 
-LOST_TARGET_LINES_PER_SECOND = 20.0
+MAX_LOST_TARGET_LINES_PER_SECOND = 20.0
 """Maximum lines per second for requests during which targets disconnected without an answer. This
 also happens when a host fails with all its targets."""
 
@@ -52,18 +52,22 @@
         """
         self._reactor = reactor
         self._counts = counts
-        self._problems = rate_limited_log.RateLimitedLog(reactor, "front", PROBLEM_LINES_PER_SECOND)
-        self._normal = rate_limited_log.RateLimitedLog(reactor, "front", NORMAL_LINES_PER_SECOND)
+        self._problems = rate_limited_log.RateLimitedLog(
+            reactor, "front", MAX_PROBLEM_LINES_PER_SECOND
+        )
+        self._normal = rate_limited_log.RateLimitedLog(
+            reactor, "front", MAX_NORMAL_LINES_PER_SECOND
+        )
         self._over_limit = rate_limited_log.RateLimitedLog(
-            reactor, "front", OVER_LIMIT_LINES_PER_SECOND
+            reactor, "front", MAX_OVER_LIMIT_LINES_PER_SECOND
         )
         self._lost_target = rate_limited_log.RateLimitedLog(
-            reactor, "front", LOST_TARGET_LINES_PER_SECOND
+            reactor, "front", MAX_LOST_TARGET_LINES_PER_SECOND
         )
-        self._cut = rate_limited_log.RateLimitedLog(reactor, "front", CUT_LINES_PER_SECOND)
+        self._cut = rate_limited_log.RateLimitedLog(reactor, "front", MAX_CUT_LINES_PER_SECOND)
 
     @property
-    def left_out(self) -> int:
+    def suppressed_lines(self) -> int:
         """Number of lines suppressed since the process started."""
         logs = (self._problems, self._normal, self._over_limit, self._lost_target, self._cut)
         return sum(log.suppressed_total for log in logs)
@@ -114,8 +118,8 @@
             covered=found.covered,
             total=found.total,
             hedges=found.hedges,
-            missing=found.missing[:MAX_LISTED],
-            failures=found.failures[:MAX_LISTED],
+            missing=found.missing[:MAX_LOGGED_ENTRIES],
+            failures=found.failures[:MAX_LOGGED_ENTRIES],
             target=found.target,
             view_age=round(view_age, 3),
         )
@@ -124,7 +128,7 @@
                 "attempts_over_limit",
                 id=attempt.decode("latin-1"),
                 limit=route.max_attempts if route is not None else None,
-                attempts=found.over_limit[:MAX_LISTED],
+                attempts=found.over_limit[:MAX_LOGGED_ENTRIES],
             )
         if found.broken:
             self._lost_target.info(
@@ -133,7 +137,7 @@
                 content=content,
                 count=len(found.broken),
                 is_answered=found.is_answered,
-                targets=found.broken[:MAX_LISTED],
+                targets=found.broken[:MAX_LOGGED_ENTRIES],
             )
 
     def on_cut(
@@ -141,7 +145,7 @@
         request: server_connection.Request,
         attempt: bytes,
         route: routes.Route,
-        known: verdict.Verdict,
+        found: verdict.Verdict,
         workspace: workspaces.Workspace | None = None,
     ) -> None:
         """Log and count a request whose caller got no answer because this process shut down.
@@ -160,8 +164,8 @@
             id=attempt.decode("latin-1"),
             workspace=_workspace_name(workspace),
             route=route.name,
-            certainty=known.certainty.value,
-            detail=known.detail,
+            certainty=found.certainty.value,
+            detail=found.detail,
             ms=round(seconds * 1000, 1),
         )
 
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -66,7 +66,7 @@
         self._crash_guard = crash_guard
         self._arrived = arrived
         self._on_end: Callable[[outcome.Outcome], None] | None = on_end
-        self._made: list[attempts.Attempt] = []
+        self._attempts: list[attempts.Attempt] = []
         self._running: list[attempts.Attempt] = []
         self._tried: set[str] = set()
         self._extra_requests = 0
@@ -101,9 +101,9 @@
 
     def current_verdict(self) -> verdict.Verdict:
         """Return a verdict on the request while it is under way."""
-        count = len(self._made)
+        count = len(self._attempts)
         detail = f"{count} attempts, {len(self._running)} of them not answered"
-        return verdict.Verdict(attempts.certainty(self._made), verdict.Reason.LEAVING, detail)
+        return verdict.Verdict(attempts.certainty(self._attempts), verdict.Reason.LEAVING, detail)
 
     def end(self) -> None:
         """Answer with what is known so far, because the process is stopping."""
@@ -114,7 +114,7 @@
             return
         self._give_up_running()
         found = outcome.refuse(
-            self.current_verdict(), len(self._made), outcome.SHUTDOWN_RETRY_AFTER
+            self.current_verdict(), len(self._attempts), outcome.SHUTDOWN_RETRY_AFTER
         )
         self._end(found)
 
@@ -148,12 +148,12 @@
 
     def _refuse_without_slot(self, now: float) -> None:
         shared = self._shared
-        if not self._made:
+        if not self._attempts:
             shared.queue.note_refused(self._call.workspace)
         detail = f"no target has room: {shared.book.describe(self._service, now)}"
         found = outcome.no_target(self._route, detail)
         pause = shared.queue.retry_after(outcome.RETRY_AFTER)
-        self._finish_without(found.reason, found.detail, pause)
+        self._finish_without_response(found.reason, found.detail, pause)
 
     def _wait_for_slot(self) -> None:
         """Try again soon, or in turn if capacity is shared fairly between workspaces."""
@@ -176,10 +176,10 @@
         return now < min(last, self._call.deadline)
 
     def _send(self, state: target_state.TargetState, now: float, is_hedge: bool) -> None:
-        if not self._made:
+        if not self._attempts:
             self._shared.queue.note_served(self._call.workspace)
         attempt = attempts.Attempt(state, now, is_hedge)
-        self._made.append(attempt)
+        self._attempts.append(attempt)
         self._running.append(attempt)
         self._tried.add(state.id)
         self._target = state.id
@@ -220,7 +220,7 @@
         elif self._failure is not None:
             self._return_response(self._failure, last)
         else:
-            self._finish_without(last.reason, last.detail)
+            self._finish_without_response(last.reason, last.detail)
 
     def _may_retry(self, last: verdict.Verdict) -> bool:
         shared = self._shared
@@ -230,11 +230,11 @@
         if self._crash_guard.has_reached_loss_limit:
             # The request itself may be what crashes its targets.
             return False
-        if not attempts.has_target_left(self._made, self._route.max_attempts):
+        if not attempts.has_target_left(self._attempts, self._route.max_attempts):
             # Only targets that have just failed are left: the caller gets the failure at once
             # rather than after a retry on them.
             return False
-        if len(self._made) >= MAX_ATTEMPTS or now + SLOT_POLL_SECONDS >= self._call.deadline:
+        if len(self._attempts) >= MAX_ATTEMPTS or now + SLOT_POLL_SECONDS >= self._call.deadline:
             return False
         return self._has_target()
 
@@ -244,7 +244,7 @@
     def _choose(self, now: float) -> target_state.TargetState | None:
         book = self._shared.book
         return attempts.choose_target(
-            book, self._route, self._service, now, self._made, self._tried
+            book, self._route, self._service, now, self._attempts, self._tried
         )
 
     def _spend_on_retry(self, last: verdict.Verdict) -> bool:
@@ -293,13 +293,13 @@
     def _on_deadline(self) -> None:
         if self._on_end is None:
             return
-        if self._made:
+        if self._attempts:
             self._give_up_running()
-            certainty = attempts.certainty(self._made)
+            certainty = attempts.certainty(self._attempts)
             found = verdict.Verdict(certainty, verdict.Reason.DEADLINE, "no answer in time")
-            self._end(outcome.refuse(found, len(self._made)))
+            self._end(outcome.refuse(found, len(self._attempts)))
         else:
-            self._finish_without(verdict.Reason.OVERLOADED, "no target had room in time")
+            self._finish_without_response(verdict.Reason.OVERLOADED, "no target had room in time")
 
     def _return_response(
         self, response: client_connection.Response, found: verdict.Verdict
@@ -307,21 +307,25 @@
         """Return a target's response to the caller unchanged."""
         is_false_promise = headers.is_promise(response.status) and not found.is_not_run
         if is_false_promise and not self._call.is_repeatable:
-            self._finish_without(found.reason, f"the target ran it and answered {response.status}")
+            self._finish_without_response(
+                found.reason, f"the target ran it and answered {response.status}"
+            )
             return
         if 200 <= response.status < 300 and not found.is_ok:
-            self._finish_without(found.reason, "a success without signature or with another body")
+            self._finish_without_response(
+                found.reason, "a success without signature or with another body"
+            )
             return
         passed = http_fields.end_to_end(response.fields)
         answer = server_connection.Answer(response.status, passed, response.body)
-        self._end(outcome.Outcome(answer, found, len(self._made), target=self._target))
+        self._end(outcome.Outcome(answer, found, len(self._attempts), target=self._target))
 
-    def _finish_without(
+    def _finish_without_response(
         self, reason: verdict.Reason, detail: str, retry_after: float | None = None
     ) -> None:
         certainty = verdict.combine(self._verdicts)
         found = verdict.Verdict(certainty, reason, detail)
-        self._end(outcome.refuse(found, len(self._made), retry_after))
+        self._end(outcome.refuse(found, len(self._attempts), retry_after))
 
     def _end(self, found: outcome.Outcome) -> None:
         on_end = self._on_end
@@ -341,9 +345,9 @@
 
     def _over_limit(self) -> tuple[str, ...]:
         """Describe the attempts if more targets may have run them than the route allows."""
-        if not attempts.exceeds_target_limit(self._made, self._route.max_attempts):
+        if not attempts.exceeds_target_limit(self._attempts, self._route.max_attempts):
             return ()
-        return (attempts.describe(self._service, self._made),)
+        return (attempts.describe(self._service, self._attempts),)
 
     def _stop(self, cancels_attempts: bool) -> None:
         for timer in self._timers:
--- a/src/lineworks/forwarding/target_book.py
+++ b/src/lineworks/forwarding/target_book.py
@@ -222,14 +222,14 @@
         All choices go through this function. Where a caller had filtered on its own and forgotten
         the home regions, requests were sent outside them.
         """
-        taking = [
+        accepting = [
             state
             for state in self._by_service.get(service, ())
             if not (state.replica.is_leaving or state.is_evacuated)
         ]
         if homes:
-            return [state for state in taking if self.ways.is_in_home_region(state.hall, homes)]
-        return taking
+            return [state for state in accepting if self.ways.is_in_home_region(state.hall, homes)]
+        return accepting
 
     def _with_capacity(
         self, service: str, now: float, excluded: Collection[str], homes: Collection[str]
--- a/src/lineworks/forwarding/target_calls.py
+++ b/src/lineworks/forwarding/target_calls.py
@@ -120,7 +120,7 @@
         self._learning = learning
         self._pools: dict[str, _connection_pool.ConnectionPool] = {}
         self._timer: Any = None
-        self._under_way: dict[_Exchange, None] = {}
+        self._in_progress: dict[_Exchange, None] = {}
         # Calls under way over reused connections, the oldest first.
         self._pooled_calls: dict[_Exchange, None] = {}
         # Latest start time of a call for which a reused connection delivered an answer or closed.
@@ -160,7 +160,7 @@
         Args:
             state: The target.
         """
-        for exchange in [one for one in self._under_way if one.state is state]:
+        for exchange in [one for one in self._in_progress if one.state is state]:
             connection = exchange.connection
             exchange.connection = None
             self._pooled_calls.pop(exchange, None)
@@ -191,7 +191,7 @@
         now = self._reactor.seconds()
         self.check_silence(now)
         exchange = _Exchange(state, call, on_end, now)
-        self._under_way[exchange] = None
+        self._in_progress[exchange] = None
         state.replica.on_started(now)
         self._learning.on_sent(state, now)
         pool = self._pool(state)
@@ -340,7 +340,7 @@
         exchange.on_end = None
         if on_end is None:
             return
-        self._under_way.pop(exchange, None)
+        self._in_progress.pop(exchange, None)
         now = self._reactor.seconds()
         exchange.state.replica.on_ended(now, is_progress)
         seconds = now - exchange.started
@@ -356,7 +356,7 @@
         if exchange.on_end is None:
             return False
         exchange.on_end = None
-        self._under_way.pop(exchange, None)
+        self._in_progress.pop(exchange, None)
         self._pooled_calls.pop(exchange, None)
         now = self._reactor.seconds()
         exchange.state.replica.on_ended(now, is_progress=False)
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -44,7 +44,7 @@
         self._log = rate_limited_log.RateLimitedLog(clock, "targets", MAX_LOG_LINES_PER_SECOND)
 
     @property
-    def lines_left_out(self) -> int:
+    def suppressed_lines(self) -> int:
         """Log lines suppressed since the start."""
         return self._log.suppressed_total
 
@@ -145,7 +145,7 @@
             self._book.sightings.note_gone(state.id, now)
 
     def _log_avoided(
-        self, state: target_state.TargetState, now: float, until: float, why: str, waited: float
+        self, state: target_state.TargetState, now: float, until: float, reason: str, waited: float
     ) -> None:
         """Log that a target is avoided for a while."""
         state.is_avoided = True
@@ -153,7 +153,7 @@
             "target_avoided",
             target=state.id,
             service=state.replica.target.service,
-            reason=why,
+            reason=reason,
             seconds=round(until - now, 3),
             failures=state.replica.failures,
             losses=state.replica.losses,
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -260,7 +260,7 @@
                 self.retry_after.append(admission.retry_after)
                 return
             if returns:
-                admission.give_back()
+                admission.return_token()
                 return
             self.admitted[workspace].append(self.now)
             self.waits[workspace].append(self.now - sent_at)
--- a/tests/test_quota_keeper.py
+++ b/tests/test_quota_keeper.py
@@ -266,7 +266,7 @@
         withdraw = asker.keeper.admit(fleet.workspaces["w"], pytest.fail)
         withdraw()
         fleet.run(0.05)
-    assert not asker.keeper._questions
+    assert not asker.keeper._pending
     fleet.ask("w", asker.name)
     fleet.run(0.1)
     assert fleet.admitted["w"]
