--- a/src/lineworks/forwarding/_connection_pool.py
+++ b/src/lineworks/forwarding/_connection_pool.py
@@ -15,7 +15,7 @@
         """Start without connections.
 
         Args:
-            share: Most connections that this instance may have open.
+            share: Maximum number of connections that this instance may have open.
         """
         self._share = share
         self.idle: list[client_connection.ClientConnection] = []
@@ -29,7 +29,7 @@
         return self.open < self._share
 
     def take(self, now: float, share: float) -> client_connection.ClientConnection | None:
-        """Take the most recently used connection out of the pool, if it can be reused.
+        """Remove and return the most recently used connection, if it can be reused.
 
         Args:
             now: The current time, in seconds.
--- a/src/lineworks/forwarding/attempts.py
+++ b/src/lineworks/forwarding/attempts.py
@@ -47,7 +47,7 @@
     was written to a connection."""
 
     end: verdict.Verdict | None = None
-    """Its verdict, or None while it is under way."""
+    """Its verdict, or None while it is in progress."""
 
     @property
     def may_have_run(self) -> bool:
@@ -88,7 +88,7 @@
         made: All attempts so far.
 
     Returns:
-        The combined certainty of their verdicts; an attempt under way may have run.
+        The combined certainty of their verdicts; an attempt in progress may have run.
     """
     return verdict.combine([one.end or IN_PROGRESS for one in made])
 
--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -69,7 +69,8 @@
 that was in force."""
 
 MAX_REFUSED_LINES_PER_SECOND = 5.0
-"""Maximum log lines per second for invalid target entries: anybody may write any number of them."""
+"""Maximum number of log lines per second for invalid target entries: anybody may write any number
+of them."""
 
 _ALL_KEYS = ""
 _log = structlog.get_logger(component="directory")
@@ -248,7 +249,7 @@
             return False
         if not self.is_complete and not self._is_unconfigured:
             return True
-        # The age is checked first, because finding the reader takes a look at every link.
+        # The age is checked first, because finding the reader iterates over all links.
         age = self.age
         if age < (POLL_SECONDS if self.is_complete else INCOMPLETE_RETRY_SECONDS):
             return False
@@ -406,7 +407,7 @@
             self._links.send(name, update)
 
     def _on_target_update(self, link: Any, frame: node_frames.TargetUpdate) -> None:
-        """Apply what a peer read from the store."""
+        """Apply changes that a peer read from the store."""
         self._store.era.learn(frame.position.era)
         is_outdated = frame.position.era < self._view.position.era
         if is_outdated or frame.after > self._view.position:
--- a/src/lineworks/forwarding/evidence_exchange.py
+++ b/src/lineworks/forwarding/evidence_exchange.py
@@ -1,9 +1,9 @@
 """Collects the observations of slow targets in a data hall at one of its instances, the keeper.
 
 A report is sent to the keeper only: one message rather than one to each instance of the hall, which
-would be 233 messages at 2,100 instances. The keeper broadcasts to the hall only what it concludes
-from several reports, which is rare. Any instance that receives reports acts as keeper. How reports
-are weighed is decided in `lineworks.decisions.target_evidence`.
+would be 233 messages at 2,100 instances. What the keeper concludes from several reports is called a
+belief. Only beliefs are broadcast to the hall, which is rare. Any instance that receives reports
+acts as keeper. How reports are weighed is decided in `lineworks.decisions.target_evidence`.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 """Seconds before the same observation of a target is sent again."""
 
 MAX_LOGGED_TARGETS = 6
-"""Most targets that a log line names."""
+"""Maximum number of targets that one log line lists."""
 
 _log = structlog.get_logger(component="evidence")
 
@@ -83,9 +83,9 @@
             name: Name of this instance.
             hall: Its data hall.
             links: Links to the other instances.
-            peers: Knows which of them are alive.
+            peers: Knows which instances are available.
             keeper: Chooses the keeper of the hall.
-            sightings: Provides this instance's observations and stores what is believed.
+            sightings: Provides this instance's observations and stores beliefs.
         """
         self._reactor = reactor
         self._name = name
@@ -102,7 +102,7 @@
         links.handle(node_frames.TargetReports, self._on_reports)
 
     def _on_sighting(self, observation: target_evidence.Observation) -> None:
-        """Schedule a report of what this instance observed."""
+        """Schedule a report of an observation by this instance."""
         was_empty = self._reports.is_empty
         if self._reports.add(observation, self._reactor.seconds()) and was_empty:
             self._reactor.callLater(BATCH_SECONDS, self._send_reports)
--- a/src/lineworks/forwarding/extra_keeper.py
+++ b/src/lineworks/forwarding/extra_keeper.py
@@ -90,7 +90,7 @@
         """Initialize the keeper without pending requests.
 
         Args:
-            reactor: Twisted reactor.
+            reactor: Twisted's reactor.
             name: Name of this instance.
             hall: Data hall of this instance.
             links: Links to the other instances.
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -79,7 +79,7 @@
         self.on_uncertain_refusal: Callable[[], None] = lambda: None
         """Called when a request is refused that a newer configuration might allow."""
         self.ends_at: Callable[[], float] = lambda: math.inf
-        """Returns when a stopping process answers all requests in progress, in seconds."""
+        """Returns the time, in seconds, at which a stopping process answers all requests."""
         self.is_over: Callable[[], bool] = lambda: False
         """Returns whether the process itself is closing its connections."""
         self._refused_share = estimators.MovingAverage(REFUSAL_WEIGHT)
@@ -100,7 +100,7 @@
         return self._table
 
     def set_table(self, table: routes.RouteTable) -> None:
-        """Put a configuration in force for requests that arrive from now on.
+        """Apply a configuration to requests that arrive from now on.
 
         Args:
             table: The new configuration.
@@ -115,7 +115,7 @@
             resume()
 
     def end_all(self) -> int:
-        """Answer every request with what is known about it, because the process exits.
+        """Answer every request with its verdict so far, because the process exits.
 
         Returns:
             Number of requests.
--- a/src/lineworks/forwarding/front_services.py
+++ b/src/lineworks/forwarding/front_services.py
@@ -37,10 +37,11 @@
 spread do not cause hedges."""
 
 MIN_HEDGE_SHARE = 0.08
-"""Minimum hedging delay, as a share of the route's SLO."""
+"""Minimum hedging delay, as a share of the route's latency objective."""
 
 MAX_HEDGE_SHARE = 0.4
-"""Maximum hedging delay, as a share of the route's SLO; also used until latencies are known."""
+"""Maximum hedging delay, as a share of the route's latency objective; also used until latencies are
+known."""
 
 
 class HedgeTimes:
@@ -63,12 +64,12 @@
         found.record(seconds)
 
     def delay(self, route: str, is_remote: bool, slo: float) -> float:
-        """Compute after how long a sub-query is hedged.
+        """Compute the delay after which a sub-query is hedged.
 
         Args:
             route: Name of the route.
             is_remote: Whether its target is in another data hall.
-            slo: The route's SLO (latency objective), in seconds.
+            slo: The route's latency objective, in seconds.
 
         Returns:
             The delay, in seconds.
@@ -95,7 +96,7 @@
     """Attempts after a failed attempt."""
 
     budget_spent: int = 0
-    """How often an extra attempt was wanted but the local allowance was exhausted."""
+    """Number of times that an extra attempt was needed but the local allowance was exhausted."""
 
     gather_queries: int = 0
     """Queries sent to gatherers in other data halls."""
--- a/src/lineworks/forwarding/gatherers.py
+++ b/src/lineworks/forwarding/gatherers.py
@@ -238,7 +238,7 @@
         Args:
             number: Number of the query.
             shards: Positions of the shards that the gatherer still works on; None or empty if there
-                are none. If there are any, it is told to cancel the query.
+                are none. If there are any, the gatherer is sent a cancellation of the query.
         """
         pending = self._pending.pop(number, None)
         if pending is None:
@@ -253,7 +253,7 @@
             self._links.send(pending.peer, node_frames.GatherCancel(number, ()))
 
     def cancel(self, number: int, shards: tuple[int, ...]) -> None:
-        """Tell the gatherer to cancel some shards of a query.
+        """Request that the gatherer cancel some shards of a query.
 
         Args:
             number: Number of the query.
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -32,7 +32,7 @@
 """Seconds between checks for a free slot at full targets: a sixth of a typical service time."""
 
 MAX_FAILURE_LINES_PER_SECOND = 10.0
-"""Maximum log lines per second for failed attempts."""
+"""Maximum number of log lines per second for failed attempts."""
 
 _FAILURE_BY_CERTAINTY = {
     verdict.Certainty.NOT_RUN: node_frames.Failure.NOT_RUN,
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -1,4 +1,4 @@
-"""Assembles the services of one process that runs on the users' machines."""
+"""Assembles the services of one process of the query tier."""
 
 from __future__ import annotations
 
@@ -193,7 +193,7 @@
         self._loop_delay = loop_delay.LoopDelay(reactor)
         self._started_at = reactor.seconds()
         self.lines_dropped: Callable[[], int] = lambda: 0
-        """Returns how many log lines were dropped because their reader was too slow."""
+        """Returns the number of log lines that were dropped because their reader was too slow."""
         self._callers = server_connection.Server(
             reactor,
             self._front.limits,
@@ -342,7 +342,7 @@
         self._links.broadcast(self._heartbeat())
 
     def _on_store_return(self) -> None:
-        """Rewrite everything that the store may lack since it was restored from an older copy."""
+        """Rewrite all data that the store may lack since it was restored from an older copy."""
         self._directory.on_store_return()
         self._registration.on_store_return()
         self._suspects.on_store_return()
--- a/src/lineworks/forwarding/planned_stop.py
+++ b/src/lineworks/forwarding/planned_stop.py
@@ -1,7 +1,7 @@
 """Planned stop of one process: every request is answered between the signal and the exit.
 
 New requests are accepted until the load balancer has deregistered the instance. Requests still in
-progress when the time is up are answered with what is known about them: either the caller can
+progress when the time is up are answered with their verdicts so far: either the caller can
 retry, or it learns that the request may have run.
 """
 
@@ -84,7 +84,7 @@
         self._poll(self._times)
 
     def _poll(self, times: stop_times.StopTimes) -> None:
-        """Take the steps that are due; exit once deregistered and without requests in progress."""
+        """Run the steps that are due; exit once deregistered and without requests in progress."""
         now = self._reactor.seconds()
         if now >= times.deregistered_by:
             self._close_idle(stop_times.MIN_IDLE_SECONDS)
--- a/src/lineworks/forwarding/quota_holder.py
+++ b/src/lineworks/forwarding/quota_holder.py
@@ -54,7 +54,7 @@
 because some halls have fewer."""
 
 MAX_RETRY_AFTER = 2.0
-"""Maximum number of seconds that a refused caller is told to wait."""
+"""Maximum seconds after which a refused caller may retry, as sent to it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -108,8 +108,8 @@
     """Time in seconds of the last refusal."""
 
     next_token_at: float = -math.inf
-    """Time in seconds at which the last refused caller was told to retry. The next one is told a
-    later time, so that each refused caller waits for a token of its own."""
+    """Time in seconds at which the last refused caller may retry. The next one is given a later
+    time, so that each refused caller waits for a token of its own."""
 
     awaited: set[str] = dataclasses.field(default_factory=set)
     """Instances that have not answered the current pull; empty if none is in progress."""
@@ -148,7 +148,7 @@
         """Initialize the holder without tokens.
 
         Args:
-            reactor: Twisted reactor.
+            reactor: Twisted's reactor.
             hall: Data hall of this instance.
             halls: All data halls.
             links: Links to the other instances.
@@ -328,7 +328,7 @@
         reply(Answer(quota.Decision.GRANTED, granted_at=now))
 
     def _refuse(self, held: _WorkspaceTokens, reply: Callable[[Answer], None], now: float) -> None:
-        """Refuse a request, with a retry time that no other caller was told yet."""
+        """Refuse a request, with a retry time that no other caller was given yet."""
         self.counts["refused"] += 1
         held.refused_at = now
         interval = 1 / held.limit.rate if held.limit.rate > 0 else MAX_RETRY_AFTER
--- a/src/lineworks/forwarding/quota_keeper.py
+++ b/src/lineworks/forwarding/quota_keeper.py
@@ -114,7 +114,7 @@
         """Initialize the keeper without pending requests.
 
         Args:
-            reactor: Twisted reactor.
+            reactor: Twisted's reactor.
             name: Name of this instance.
             links: Links to the other instances.
             peers: Tracks the instances that do not answer.
@@ -156,7 +156,7 @@
 
     @property
     def suppressed_lines(self) -> int:
-        """Number of log lines that were suppressed."""
+        """Number of log lines suppressed since the start."""
         return self._log.suppressed_total
 
     def set_workspaces(self, listed: Iterable[workspaces.Workspace], version: int = 0) -> None:
--- a/src/lineworks/forwarding/quota_ranks.py
+++ b/src/lineworks/forwarding/quota_ranks.py
@@ -44,7 +44,7 @@
         """Initialize the ranks without lost instances.
 
         Args:
-            reactor: Twisted reactor.
+            reactor: Twisted's reactor.
             name: Name of this instance.
             hall: Data hall of this instance.
             links: Links to the other instances.
--- a/src/lineworks/forwarding/request_log.py
+++ b/src/lineworks/forwarding/request_log.py
@@ -17,27 +17,28 @@
     from lineworks.http1 import server_connection
 
 MAX_PROBLEM_LINES_PER_SECOND = 40.0
-"""Maximum lines per second for requests that failed, were refused, were late or returned partial
-results."""
+"""Maximum number of log lines per second for requests that failed, were refused, were late or
+returned partial results."""
 
 MAX_LOGGED_ENTRIES = 6
-"""Maximum number of entries in each list of a line, such as missing shards or failed attempts."""
+"""Maximum number of entries in each list of a log line, such as missing shards."""
 
 MAX_NORMAL_LINES_PER_SECOND = 0.5
-"""Maximum lines per second for all other requests, as a sample for comparison."""
+"""Maximum number of log lines per second for all other requests, as a sample for comparison."""
 
 MAX_OVER_LIMIT_LINES_PER_SECOND = 20.0
-"""Maximum lines per second for requests that may have run on more targets than their route allows.
-None are expected, so they have a limit of their own: other lines must not crowd them out."""
+"""Maximum number of log lines per second for requests that may have run on more targets than their
+route allows. None are expected, so they have a limit of their own: other lines must not crowd them
+out."""
 
 MAX_CUT_LINES_PER_SECOND = 100.0
-"""Maximum lines per second for requests that the shutdown of the process interrupted, and for
-answers that were not delivered. None are expected, but all would come at the same moment, so the
-burst allowance covers the requests that a process has in progress."""
+"""Maximum number of log lines per second for requests that the shutdown of the process interrupted,
+and for answers that were not delivered. None are expected, but all would come at the same moment,
+so the burst allowance covers the requests that a process has in progress."""
 
 MAX_LOST_TARGET_LINES_PER_SECOND = 20.0
-"""Maximum lines per second for requests during which targets disconnected without an answer. This
-also happens when a host fails with all its targets."""
+"""Maximum number of log lines per second for requests during which targets disconnected without an
+answer. This also happens when a host fails with all its targets."""
 
 
 class RequestLog:
@@ -68,7 +69,7 @@
 
     @property
     def suppressed_lines(self) -> int:
-        """Number of lines suppressed since the process started."""
+        """Number of log lines suppressed since the start."""
         logs = (self._problems, self._normal, self._over_limit, self._lost_target, self._cut)
         return sum(log.suppressed_total for log in logs)
 
@@ -87,7 +88,7 @@
 
         Args:
             request: The request.
-            attempt: Identifier of the caller's try.
+            attempt: Identity of the caller's try.
             route: The route, if one was found.
             version: Configuration version under which the request ran; 0 for none.
             found: The outcome.
@@ -152,9 +153,9 @@
 
         Args:
             request: The request.
-            attempt: Identifier of the caller's try.
+            attempt: Identity of the caller's try.
             route: The route.
-            known: The verdict on the request at that time.
+            found: The verdict on the request at that time.
             workspace: The workspace that the request belongs to, if known.
         """
         self._counts.on_cut(route, _workspace_name(workspace))
@@ -192,7 +193,7 @@
 
         Args:
             request: The request.
-            attempt: Identifier of the caller's try.
+            attempt: Identity of the caller's try.
             route: The route.
             workspace: The workspace that the request belongs to, if known.
         """
--- a/src/lineworks/forwarding/search.py
+++ b/src/lineworks/forwarding/search.py
@@ -217,7 +217,7 @@
         return self._shared.book.has_target(shard.service, self._route.homes)
 
     def current_verdict(self) -> verdict.Verdict:
-        """Return the verdict for a search that the shutdown of this process interrupts."""
+        """Return the verdict on the search so far, for a shutdown of this process."""
         found = self._coverage_verdict()
         return dataclasses.replace(found, reason=verdict.Reason.LEAVING)
 
--- a/src/lineworks/forwarding/search_hedges.py
+++ b/src/lineworks/forwarding/search_hedges.py
@@ -83,7 +83,7 @@
 
         Args:
             now: Current time in seconds.
-            aim_at: Time at which the answer is due, in seconds.
+            due: Time by which the answer must be sent to meet the latency objective, in seconds.
         """
         self.is_started = True
         self._started_at = now
--- a/src/lineworks/forwarding/search_state.py
+++ b/src/lineworks/forwarding/search_state.py
@@ -69,7 +69,7 @@
     """Attempts in progress."""
 
     tried: set[str] = dataclasses.field(default_factory=set)
-    """Identifiers of the targets tried since the set was last reset."""
+    """Identities of the targets tried since the set was last reset."""
 
     backoffs: int = 0
     """Number of backoffs taken because no eligible target was left."""
@@ -111,7 +111,7 @@
         """Return whether an earlier direct call to a target ran the query or may still run it.
 
         Args:
-            target: Identifier of the target.
+            target: Identity of the target.
 
         Returns:
             Whether there is such a call.
--- a/src/lineworks/forwarding/single.py
+++ b/src/lineworks/forwarding/single.py
@@ -24,15 +24,14 @@
     from lineworks.http1 import client_connection
 
 SLOT_POLL_SECONDS = 0.02
-"""Seconds between attempts to find a target with spare capacity."""
+"""Seconds between checks for a target with a free slot."""
 
 SLOT_WAIT_SHARE = 0.2
-"""Fraction of the route's latency objective for which a request waits for a target with spare
-capacity before it is refused: a refusal within a quarter of the objective still leaves time for
-another try."""
+"""Share of the latency objective for which a request waits for a target with a free slot before it
+is refused. A refusal within a quarter of the objective leaves the caller time to try again."""
 
 MAX_ATTEMPTS = 6
-"""Most attempts at one request, refused ones included."""
+"""Maximum number of attempts at one request, including those that targets refused."""
 
 
 class SingleRequest:
@@ -48,15 +47,15 @@
         arrived: float,
         on_end: Callable[[outcome.Outcome], None],
     ) -> None:
-        """Prepare the request without sending anything.
+        """Create a request without sending anything.
 
         Args:
-            shared: State and tools that the front's requests share.
+            shared: State shared by all requests of the front.
             route: The route.
             service: Service that the request is for.
-            call: The request in the form that targets get it.
-            guard: Holds back retries and hedges while the request may be crashing targets.
-            arrived: When its first byte was read, in seconds.
+            call: The request as it is sent to every target.
+            crash_guard: Limits retries and hedges while the request may be crashing its targets.
+            arrived: Time at which the first byte of the request was read, in seconds.
             on_end: Called once with the outcome, unless the request is cancelled.
         """
         self._shared = shared
@@ -85,7 +84,7 @@
         self._leave_queue: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        """Send the first attempt, or wait for spare capacity."""
+        """Send the first attempt, or queue the request behind those that go first."""
         shared = self._shared
         now = shared.reactor.seconds()
         shared.extra.note_request(self._service, now)
@@ -100,13 +99,13 @@
             self._set_timer(delay, self._on_hedge)
 
     def current_verdict(self) -> verdict.Verdict:
-        """Return a verdict on the request while it is under way."""
+        """Return the verdict on the request so far, for a shutdown of this process."""
         count = len(self._attempts)
         detail = f"{count} attempts, {len(self._running)} of them not answered"
         return verdict.Verdict(attempts.certainty(self._attempts), verdict.Reason.LEAVING, detail)
 
     def end(self) -> None:
-        """Answer with what is known so far, because the process is stopping."""
+        """End the request because the process is shutting down."""
         if self._on_end is None:
             return
         if self._failure is not None and not self._running:
@@ -119,7 +118,7 @@
         self._end(found)
 
     def cancel(self) -> None:
-        """Give up the request, because its caller has closed the connection.
+        """Cancel the request because its caller has disconnected.
 
         A request that may run only once continues on its target, so that it completes there.
         """
@@ -131,7 +130,7 @@
         self._timers.append(self._shared.reactor.callLater(max(0.0, delay), call))
 
     def _send_or_wait(self) -> None:
-        """Send an attempt to the best target; without one, wait for capacity or refuse."""
+        """Send an attempt to the best target; without one, wait for a free slot or refuse."""
         if self._on_end is None or self._running:
             return
         now = self._shared.reactor.seconds()
@@ -156,7 +155,7 @@
         self._finish_without_response(found.reason, found.detail, pause)
 
     def _wait_for_slot(self) -> None:
-        """Try again soon, or in turn if capacity is shared fairly between workspaces."""
+        """Schedule another attempt to send, in queue order if workspaces share the slots."""
         queue = self._shared.queue
         if queue.is_fair:
             self._leave_queue = queue.wait(
@@ -359,7 +358,7 @@
             self._give_up_running()
 
     def _give_up_running(self) -> None:
-        """Cancel the attempts under way, and record which of them were never sent."""
+        """Cancel the attempts in progress, and record which of them were never sent."""
         for attempt in self._running:
             attempts.give_up(attempt)
         self._running.clear()
--- a/src/lineworks/forwarding/suspect_exchange.py
+++ b/src/lineworks/forwarding/suspect_exchange.py
@@ -1,7 +1,7 @@
 """Shares records of requests that may crash targets among all instances.
 
 An instance that finds that a target has ended reports it to all peers immediately, so that the
-caller's next attempt is recognized at any instance. Soon afterwards it writes the record to the
+caller's next try is recognized at any instance. Soon afterwards it writes the record to the
 platform's store, for instances that start or are cut off from their peers. An instance that reads
 new records from the store forwards them to its hall. When a link comes up, all records are sent
 over it; between halls only one instance of each hall does so. Nothing is sent while no target ends:
@@ -29,11 +29,11 @@
 
 REPORT_BATCH_SECONDS = 0.02
 """Seconds for which further reports are batched into one message. Reports that change a judgement
-are sent immediately, and a caller's next attempt arrives later than this."""
+are sent immediately, and a caller's next try arrives later than this."""
 
 WRITE_BATCH_SECONDS = 0.3
 """Seconds for which changes are batched before they are written to the store: most suspects are
-cleared before that by their caller's next attempt."""
+cleared before that by their caller's next try."""
 
 RETRY_SECONDS = 1.0
 """Seconds between attempts to write while the store fails."""
@@ -84,7 +84,7 @@
         """Initialize the exchange without suspects.
 
         Args:
-            reactor: Twisted reactor.
+            reactor: Twisted's reactor.
             name: Name of this instance.
             hall: Data hall of this instance.
             links: Links to the other instances.
@@ -171,7 +171,7 @@
 
         Args:
             content: Fingerprint of the request.
-            attempt: Identity of the caller's attempt.
+            attempt: Identity of the caller's try.
 
         Returns:
             Seconds for which it will remain refused.
@@ -190,13 +190,13 @@
     def note_broken(
         self, content: str, targets: Sequence[str], attempt: str, is_trial: bool
     ) -> None:
-        """Record that connections to targets broke during an attempt that no target answered.
+        """Record that connections to targets broke during a try that no target answered.
 
         Args:
             content: Fingerprint of the request.
             targets: Identities of the targets.
-            attempt: Identity of the attempt.
-            is_trial: Whether the attempt was a trial.
+            attempt: Identity of the try.
+            is_trial: Whether the try was a trial.
         """
         now = self._reactor.seconds()
         record = self._suspects.note_ends(content, targets, attempt, is_trial, now)
@@ -322,7 +322,7 @@
                 self._broadcast((record,))
             cleared = self._suspects.clear_if_answered(found.content, now)
             if cleared is not None:
-                # Tell only the reporter, which informs the others. Otherwise every instance that
+                # Inform only the reporter, which informs the others. Otherwise every instance that
                 # knows of the answer would inform all others.
                 self._note_change(cleared, "an answer")
                 link.send(node_frames.SuspectReports((cleared,)))
@@ -400,7 +400,7 @@
             self._expiry_timer = self._reactor.callLater(EXPIRY_CHECK_SECONDS, self._expire)
 
     def _probe(self, content: str, target: str, attempt: str) -> None:
-        """Find out whether a target has ended, or only the connection to it."""
+        """Check whether a target has ended, or only the connection to it."""
         state = self._book.find(target)
         if state is None:
             self._on_proven(content, target, attempt)
--- a/src/lineworks/forwarding/target_book.py
+++ b/src/lineworks/forwarding/target_book.py
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BookChange:
-    """What an update of a `TargetBook` changed."""
+    """The targets that an update of a `TargetBook` changed."""
 
     added: list[target_state.TargetState]
     """Targets that are new."""
@@ -99,10 +99,10 @@
             regions: Region of each hall.
             rng: Random numbers that break ties.
             without: Mechanisms that are switched off.
-            cold: Limits what this instance sends to cold targets; None allows it nothing.
+            cold: Limits the requests of this instance to cold targets; None allows none.
         """
         self.cold = cold or cold_targets.ColdAllowance("", cold_targets.ColdBound())
-        """Limits what this instance sends to cold targets."""
+        """Limits the requests of this instance to cold targets."""
         self._knows_load = mechanisms.Mechanism.LOAD_REPORTS not in without
         self._avoids_slow = mechanisms.Mechanism.SLOW_AVOIDANCE not in without
         self.ways = hall_ways.HallRoundTrips(hall, regions)
@@ -116,7 +116,7 @@
         self.sightings = target_sightings.TargetSightings(
             mechanisms.Mechanism.SHARED_EVIDENCE not in without
         )
-        """What this instance and others observed about slow targets."""
+        """Observations of slow targets by this instance and others."""
 
     def update(
         self,
@@ -421,7 +421,7 @@
         return [(seconds, state) for seconds, state in candidates if seconds <= best + slack]
 
     def min_seconds(self, state: target_state.TargetState) -> float:
-        """Return the least time that a target takes to answer, round trip included, in seconds."""
+        """Return the minimum response time of a target, round trip included, in seconds."""
         usual = self.service_time(state.replica.target.service)
         return usual / 2 + self.ways.round_trip(state.hall)
 
@@ -441,7 +441,7 @@
     def _estimate(
         self, state: target_state.TargetState, now: float, usual: float, has_reports: bool
     ) -> float:
-        """Estimate the response time, given what callers look up once for all targets.
+        """Estimate the response time from values that callers look up once for all targets.
 
         A search over 135 shards calls this 405 to 1,215 times before anything is sent.
         """
@@ -475,7 +475,7 @@
         return found.value if found is not None else 0.0
 
     def usual_answer(self, services: Iterable[str]) -> float:
-        """Return how long the slowest of some services usually takes to answer from afar.
+        """Return how long the slowest of some services usually takes to answer from another hall.
 
         Args:
             services: The services.
--- a/src/lineworks/forwarding/target_calls.py
+++ b/src/lineworks/forwarding/target_calls.py
@@ -40,8 +40,8 @@
 """Seconds within which an answer is never late: two round trips between regions."""
 
 SILENCE_CHECK_SECONDS = 0.01
-"""Least seconds between checks for silent connections, each of which iterates over the calls under
-way."""
+"""Minimum seconds between checks for silent connections, each of which iterates over the calls in
+progress."""
 
 SWEEP_SECONDS = 1.0
 """Seconds between sweeps that close connections past their idle timeout."""
@@ -81,10 +81,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallEnd:
-    """How a call ended."""
+    """Outcome of a call."""
 
     verdict: verdict.Verdict
-    """What is known about the call, such as whether the target ran the request."""
+    """Verdict on the call: whether the target ran the request, and why."""
 
     response: client_connection.Response | None = None
     """The target's response, or None if no complete one was received."""
@@ -96,7 +96,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Exchange:
-    """A call under way."""
+    """A call in progress."""
 
     state: target_state.TargetState
     call: TargetCall
@@ -121,7 +121,7 @@
         self._pools: dict[str, _connection_pool.ConnectionPool] = {}
         self._timer: Any = None
         self._in_progress: dict[_Exchange, None] = {}
-        # Calls under way over reused connections, the oldest first.
+        # Calls in progress over reused connections, the oldest first.
         self._pooled_calls: dict[_Exchange, None] = {}
         # Latest start time of a call for which a reused connection delivered an answer or closed.
         self._last_answered_start = -math.inf
@@ -375,7 +375,7 @@
 
 
 class _Factory(protocol.ClientFactory):
-    """Makes the connection that is opened for one call."""
+    """Creates the connection that is opened for one call."""
 
     noisy = False
 
@@ -387,7 +387,7 @@
         self._exchange = exchange
 
     def buildProtocol(self, addr: Any) -> _TargetConnection:  # noqa: N802
-        """Make the protocol of the connection."""
+        """Create the protocol of the connection."""
         return _TargetConnection(self._calls, self._pool, self._exchange)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -25,7 +25,7 @@
 """A call given up after this multiple of the usual service time counts against its target."""
 
 MAX_LOG_LINES_PER_SECOND = 5.0
-"""Most log lines a second about targets that are avoided or answer again."""
+"""Maximum number of log lines per second for targets that are avoided or answer again."""
 
 
 class TargetLearning:
@@ -45,7 +45,7 @@
 
     @property
     def suppressed_lines(self) -> int:
-        """Log lines suppressed since the start."""
+        """Number of log lines suppressed since the start."""
         return self._log.suppressed_total
 
     def service_time(self, state: target_state.TargetState) -> float:
--- a/src/lineworks/forwarding/target_probe.py
+++ b/src/lineworks/forwarding/target_probe.py
@@ -41,7 +41,7 @@
         self._on_result = on_result
 
     def buildProtocol(self, addr: Any) -> _Connection:  # noqa: N802
-        """Make the protocol of the connection."""
+        """Create the protocol of the connection."""
         return _Connection(self._reactor, self._on_result)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
--- a/src/lineworks/forwarding/target_sightings.py
+++ b/src/lineworks/forwarding/target_sightings.py
@@ -30,13 +30,13 @@
 
     @property
     def has_reports(self) -> bool:
-        """Whether any target is believed to be slow or gone."""
+        """Whether any target is reported as slow or gone."""
         return self._is_shared and self.evidence.has_beliefs
 
     def reported_seconds(
         self, target: str, last_outcome_at: float, now: float, usual: float
     ) -> float:
-        """Estimate the latency of a target from what was reported about it.
+        """Estimate the latency of a target from the reports about it.
 
         Args:
             target: Identity of its process.
@@ -53,7 +53,7 @@
         return usual * (1 + (reported.factor - 1) * 0.5 ** ((now - reported.at) / MEMORY_HALF_LIFE))
 
     def note_answer(self, target: str, now: float, seconds: float, usual: float) -> None:
-        """Share that an answer was slow, or that a target reported as slow is well again.
+        """Share that an answer was slow, or that a target reported as slow is fast again.
 
         Args:
             target: Identity of its process.
--- a/src/lineworks/forwarding/target_state.py
+++ b/src/lineworks/forwarding/target_state.py
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class TargetState:
-    """What this instance knows about one target."""
+    """State of one target, as known to this instance."""
 
     replica: replicas.Replica
     """Load, concurrency limit, back-off and stalls."""
@@ -30,7 +30,7 @@
     """Whether its entry says that it is still warming up."""
 
     cold_rate: float = 0.0
-    """Requests a second that it can handle while cold; 0 for no limit."""
+    """Requests per second that it can handle while cold; 0 for no limit."""
 
     assumed_cold_until: float = -math.inf
     """Time until which it counts as cold even if its entry doesn't say so, in seconds."""
--- a/src/lineworks/forwarding/wait_queue.py
+++ b/src/lineworks/forwarding/wait_queue.py
@@ -79,10 +79,10 @@
             self.shares.note_refused(workspace, self._reactor.seconds())
 
     def is_too_late(self, waiting_request: fair_shares.WaitingRequest, now: float) -> bool:
-        """Return whether it is pointless to wait any longer.
+        """Return whether a request can no longer finish in time by waiting.
 
         Args:
-            claim: Claim of the request.
+            waiting_request: The request.
             now: Current time, in seconds.
 
         Returns:
@@ -97,7 +97,7 @@
         """Return whether a new request would overtake a waiting request that goes before it.
 
         Args:
-            claim: Claim of the new request.
+            waiting_request: The new request.
             services: Services at which it needs capacity.
 
         Returns:
@@ -121,7 +121,7 @@
         """Join the queue until the next retry.
 
         Args:
-            claim: Determines the position in the queue.
+            waiting_request: Determines the position in the queue.
             services: Services at which capacity is needed.
             retry: Called once, at the next retry, in queue order. A request for which there is
                 still no capacity has to wait again.
