--- a/src/lineworks/forwarding/caution.py
+++ b/src/lineworks/forwarding/caution.py
@@ -18,7 +18,7 @@
 """Number of targets lost without any answer at which other instances are informed before the try is
 over: its caller may send the next try to one of them a few milliseconds later."""
 
-MAX_READ_LOSSES = 2
+MAX_SINGLE_REQUEST_LOSSES = 2
 """Number of lost targets after which a request to one service ends. The second target shows whether
 the first loss was a coincidence; a third would only cost one more target."""
 
@@ -73,7 +73,7 @@
     @property
     def has_reached_loss_limit(self) -> bool:
         """Whether a request to one service has lost as many targets as allowed."""
-        max_losses = 1 if self._started_as_trial else MAX_READ_LOSSES
+        max_losses = 1 if self._started_as_trial else MAX_SINGLE_REQUEST_LOSSES
         return self.blocks_retries and len(self._broken) >= max_losses
 
     def note_end(self, target: str, lost_before_answer: bool, found: verdict.Verdict) -> None:
--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -131,7 +131,7 @@
         """Number of invalid target entries read."""
         self.on_table: Callable[[routes.RouteTable], None] = lambda table: None
         self.on_targets: Callable[[], None] = lambda: None
-        self.on_instances: Callable[[Sequence[store_items.Change]], None] = lambda rows: None
+        self.on_other_keys: Callable[[Sequence[store_items.Change]], None] = lambda rows: None
         links.handle(node_frames.TargetUpdate, self._on_target_update)
         links.handle(node_frames.TableUpdate, self._on_table_update)
         links.handle(node_frames.TablePull, self._on_pull)
@@ -361,7 +361,7 @@
         for row in rows:
             if row.key == configuration.KEY and row.value is not None:
                 self._apply_table(row.value, row.position.era)
-        self.on_instances(rows)
+        self.on_other_keys(rows)
 
     def _apply_table(self, document: bytes, era: int) -> None:
         try:
--- a/src/lineworks/forwarding/evidence_exchange.py
+++ b/src/lineworks/forwarding/evidence_exchange.py
@@ -56,7 +56,7 @@
         return True
 
     def take(self, now: float) -> tuple[target_evidence.Observation, ...]:
-        """Remove and return all that is waiting, and forget what may be sent again."""
+        """Remove and return the waiting observations, and forget those that may be sent again."""
         observations, self._pending = tuple(self._pending.values()), {}
         oldest = now - REPEAT_SECONDS
         self._sent = {target: sent for target, sent in self._sent.items() if sent[1] > oldest}
@@ -139,10 +139,10 @@
 
     def _schedule_belief(self, observation: target_evidence.Observation, now: float) -> None:
         was_empty = self._beliefs.is_empty
-        believed = self._evidence.slowness(observation.target, now)
-        if observation.kind is target_evidence.Kind.SLOW and believed is not None:
+        slowness = self._evidence.slowness(observation.target, now)
+        if observation.kind is target_evidence.Kind.SLOW and slowness is not None:
             observation = target_evidence.Observation(
-                observation.target, observation.kind, believed.factor
+                observation.target, observation.kind, slowness.factor
             )
         if self._beliefs.add(observation, now) and was_empty:
             self._reactor.callLater(BATCH_SECONDS, self._send_beliefs)
--- a/src/lineworks/forwarding/gathering.py
+++ b/src/lineworks/forwarding/gathering.py
@@ -74,7 +74,7 @@
     is_flushed: bool = False
     """Whether the flush time has passed."""
     waiting_request: fair_shares.WaitingRequest | None = None
-    """Decides the order in the queue if workspaces share the slots; None if every query polls."""
+    """Determines the queue position if workspaces share the slots; None if all queries poll."""
     leave_queue: Callable[[], None] = lambda: None
     """Leaves the queue for free slots."""
     has_lost_target: bool = False
@@ -189,7 +189,7 @@
     def _waiting_request(
         self, query: node_frames.GatherQuery, now: float
     ) -> fair_shares.WaitingRequest:
-        """Return what decides a query's place in the queue for free slots."""
+        """Create the entry that determines a query's position in the queue for free slots."""
         usual = max(map(self._book.service_time, query.services))
         return fair_shares.WaitingRequest(
             query.workspace,
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -273,7 +273,7 @@
         self._store.era.listeners.append(self._on_store_return)
         self._directory.on_table = self._on_table
         self._directory.on_targets = self._on_targets
-        self._directory.on_instances = self._on_other_keys
+        self._directory.on_other_keys = self._on_other_keys
         self._registration.on_listed = self._count_instances
         self._calls.on_silence = self._gatherers.mark_all_silent
         links = self._links
--- a/src/lineworks/forwarding/request_log.py
+++ b/src/lineworks/forwarding/request_log.py
@@ -21,7 +21,8 @@
 returned partial results."""
 
 MAX_LOGGED_ENTRIES = 6
-"""Maximum number of entries in each list of a log line, such as missing shards."""
+"""Maximum number of entries in each list of a log line, such as missing shards and failed
+attempts."""
 
 MAX_NORMAL_LINES_PER_SECOND = 0.5
 """Maximum number of log lines per second for all other requests, as a sample for comparison."""
--- a/src/lineworks/forwarding/suspect_exchange.py
+++ b/src/lineworks/forwarding/suspect_exchange.py
@@ -394,7 +394,7 @@
             self._log.info("suspect_forgotten", content=record.content)
         held = self._suspects.records
         self._written_at = {key: at for key, at in self._written_at.items() if key in held}
-        self._announced = {key: told for key, told in self._announced.items() if key in held}
+        self._announced = {key: found for key, found in self._announced.items() if key in held}
         self._local_only.intersection_update(held)
         if held:
             self._expiry_timer = self._reactor.callLater(EXPIRY_CHECK_SECONDS, self._expire)
