--- a/src/lineworks/forwarding/attempts.py
+++ b/src/lineworks/forwarding/attempts.py
@@ -22,7 +22,7 @@
 GIVEN_UP = verdict.may_have_run(verdict.Reason.CANCELLED, "given up")
 """Verdict on an attempt that was given up: its target learns of that later, or never."""
 
-UNDER_WAY = verdict.may_have_run(verdict.Reason.CANCELLED, "under way")
+IN_PROGRESS = verdict.may_have_run(verdict.Reason.CANCELLED, "under way")
 """Verdict on an attempt that has not ended."""
 
 UNSENT = verdict.not_run(verdict.Reason.UNREACHABLE, "given up before a connection was open")
@@ -47,7 +47,7 @@
     was written to a connection."""
 
     end: verdict.Verdict | None = None
-    """Its verdict, or None while it is under way."""
+    """Its verdict, or None while it is in progress."""
 
     @property
     def may_have_run(self) -> bool:
@@ -88,9 +88,9 @@
         made: All attempts so far.
 
     Returns:
-        The combined certainty of their verdicts; an attempt under way may have run.
+        The combined certainty of their verdicts; an attempt in progress may have run.
     """
-    return verdict.combine([one.end or UNDER_WAY for one in made])
+    return verdict.combine([one.end or IN_PROGRESS for one in made])
 
 
 def known_targets(made: Iterable[Attempt]) -> frozenset[str]:
--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -69,7 +69,8 @@
 that was in force."""
 
 MAX_REFUSED_LINES_PER_SECOND = 5.0
-"""Maximum log lines per second for invalid target entries: anybody may write any number of them."""
+"""Maximum number of log lines per second for invalid target entries: anybody may write any number
+of them."""
 
 _ALL_KEYS = ""
 _log = structlog.get_logger(component="directory")
@@ -130,7 +131,7 @@
         """Number of invalid target entries read."""
         self.on_table: Callable[[routes.RouteTable], None] = lambda table: None
         self.on_targets: Callable[[], None] = lambda: None
-        self.on_instances: Callable[[Sequence[store_items.Change]], None] = lambda rows: None
+        self.on_other_keys: Callable[[Sequence[store_items.Change]], None] = lambda rows: None
         links.handle(node_frames.TargetUpdate, self._on_target_update)
         links.handle(node_frames.TableUpdate, self._on_table_update)
         links.handle(node_frames.TablePull, self._on_pull)
@@ -248,7 +249,7 @@
             return False
         if not self.is_complete and not self._is_unconfigured:
             return True
-        # The age is checked first, because finding the reader takes a look at every link.
+        # The age is checked first, because finding the reader iterates over all links.
         age = self.age
         if age < (POLL_SECONDS if self.is_complete else INCOMPLETE_RETRY_SECONDS):
             return False
@@ -360,7 +361,7 @@
         for row in rows:
             if row.key == configuration.KEY and row.value is not None:
                 self._apply_table(row.value, row.position.era)
-        self.on_instances(rows)
+        self.on_other_keys(rows)
 
     def _apply_table(self, document: bytes, era: int) -> None:
         try:
@@ -406,7 +407,7 @@
             self._links.send(name, update)
 
     def _on_target_update(self, link: Any, frame: node_frames.TargetUpdate) -> None:
-        """Apply what a peer read from the store."""
+        """Apply changes that a peer read from the store."""
         self._store.era.learn(frame.position.era)
         is_outdated = frame.position.era < self._view.position.era
         if is_outdated or frame.after > self._view.position:
--- a/src/lineworks/forwarding/front.py
+++ b/src/lineworks/forwarding/front.py
@@ -68,7 +68,7 @@
         self._awaiting_quota: dict[_Work, Callable[[], None]] = {}
         self._table: routes.RouteTable | None = None
         self._round_robin = routes.WeightedRoundRobin()
-        self._under_way: set[_Work] = set()
+        self._in_progress: set[_Work] = set()
         self._waiting: dict[Callable[[], None], Callable[[], None]] = {}
         self.is_complete: Callable[[], bool] = lambda: True
         """Returns whether the configuration and the targets are known."""
@@ -79,7 +79,7 @@
         self.on_uncertain_refusal: Callable[[], None] = lambda: None
         """Called when a request is refused that a newer configuration might allow."""
         self.ends_at: Callable[[], float] = lambda: math.inf
-        """Returns when a stopping process answers all requests in progress, in seconds."""
+        """Returns the time, in seconds, at which a stopping process answers all requests."""
         self.is_over: Callable[[], bool] = lambda: False
         """Returns whether the process itself is closing its connections."""
         self._refused_share = estimators.MovingAverage(REFUSAL_WEIGHT)
@@ -87,7 +87,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no request is in progress, held or waiting for quota."""
-        return not self._under_way and not self._waiting and not self._awaiting_quota
+        return not self._in_progress and not self._waiting and not self._awaiting_quota
 
     @property
     def is_mostly_refusing(self) -> bool:
@@ -100,7 +100,7 @@
         return self._table
 
     def set_table(self, table: routes.RouteTable) -> None:
-        """Put a configuration in force for requests that arrive from now on.
+        """Apply a configuration to requests that arrive from now on.
 
         Args:
             table: The new configuration.
@@ -115,15 +115,15 @@
             resume()
 
     def end_all(self) -> int:
-        """Answer every request with what is known about it, because the process exits.
+        """Answer every request with its verdict so far, because the process exits.
 
         Returns:
             Number of requests.
         """
-        count = len(self._under_way) + len(self._waiting) + len(self._awaiting_quota)
+        count = len(self._in_progress) + len(self._waiting) + len(self._awaiting_quota)
         for give_up in [*self._waiting.values(), *self._awaiting_quota.values()]:
             give_up()
-        for work in list(self._under_way):
+        for work in list(self._in_progress):
             work.end()
         return count
 
@@ -246,28 +246,28 @@
             workspace=workspace.name if workspace is not None else "",
             has_quota=workspace is not None and workspace.quota is not None,
         )
-        give_back: Callable[[], None] | None = None
+        return_token: Callable[[], None] | None = None
 
         def on_end(found: outcome.Outcome) -> None:
-            self._under_way.discard(work)
-            if give_back is not None and found.verdict.is_not_run:
-                give_back()
+            self._in_progress.discard(work)
+            if return_token is not None and found.verdict.is_not_run:
+                return_token()
             is_refused = found.verdict.reason is verdict.Reason.NO_REPLICA
             self._refused_share.record(1.0 if is_refused else 0.0)
             finish(found)
 
         is_trial = judgement is suspects.Judgement.TRIAL
-        guard = caution.CrashGuard(
+        crash_guard = caution.CrashGuard(
             self._shared.suspects, content, attempt.decode("latin-1"), is_trial
         )
-        work = self._make_work(request, route, call, guard, on_end)
+        work = self._make_work(request, route, call, crash_guard, on_end)
         on_caller_left = functools.partial(self._cancel, work, request, attempt, accessed)
 
         def on_admission(admission: quota_keeper.Admission) -> None:
-            nonlocal give_back
+            nonlocal return_token
             self._awaiting_quota.pop(work, None)
             if admission.refusal is None:
-                give_back = admission.give_back
+                return_token = admission.return_token
                 self._start(work)
                 return
             finish(outcome.refuse(admission.refusal, retry_after=admission.retry_after))
@@ -277,7 +277,7 @@
             return on_caller_left
         withdraw = self._shared.quotas.admit(workspace, on_admission, deadline)
         if withdraw is None:
-            return on_caller_left if work in self._under_way else None
+            return on_caller_left if work in self._in_progress else None
         return self._await_quota(work, withdraw, on_admission, on_caller_left)
 
     def _refuse_early(
@@ -310,21 +310,21 @@
         request: server_connection.Request,
         route: routes.Route,
         call: target_calls.TargetCall,
-        guard: caution.CrashGuard,
+        crash_guard: caution.CrashGuard,
         on_end: Callable[[outcome.Outcome], None],
     ) -> _Work:
         """Create the search, or the request to one target, according to the route."""
         if not route.is_search:
             service = self._round_robin.choose(route)
             return single.SingleRequest(
-                self._shared, route, service, call, guard, request.arrived, on_end
+                self._shared, route, service, call, crash_guard, request.arrived, on_end
             )
         lag = answer_time.answer_lag(self._shared.lags)
         due = answer_time.answer_due(request.arrived, route.slo, request.network_delay, lag)
-        return search.Search(self._shared, route, call, guard, due, request.arrived, on_end)
+        return search.Search(self._shared, route, call, crash_guard, due, request.arrived, on_end)
 
     def _start(self, work: _Work) -> None:
-        self._under_way.add(work)
+        self._in_progress.add(work)
         work.start()
 
     def _await_quota(
@@ -398,11 +398,11 @@
         attempt: bytes,
         accessed: access.AccessDecision,
     ) -> None:
-        self._under_way.discard(work)
+        self._in_progress.discard(work)
         route, workspace = accessed.route, accessed.workspace
         if self.is_over():
             # The process closes the connection, so the log must not blame the caller.
-            self._log.on_cut(request, attempt, route, work.known(), workspace)
+            self._log.on_cut(request, attempt, route, work.current_verdict(), workspace)
         else:
             self._log.on_caller_gone(request, attempt, route, workspace)
         work.cancel()
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -1,4 +1,4 @@
-"""Assembles the services of one process that runs on the users' machines."""
+"""Assembles the services of one process of the query tier."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 """Age of the data about targets, in seconds, after which an instance that refuses most requests for
 lack of targets counts as not ready: it is cut off, and others may have newer data."""
 
-MAX_TARGETS_PER_LINE = 8
+MAX_LOGGED_TARGETS = 8
 """Maximum number of targets that one log line lists."""
 
 _log = structlog.get_logger(component="node")
@@ -183,7 +183,7 @@
             front_services.HedgeTimes(),
             self._counters,
             rate_limited_log.RateLimitedLog(
-                reactor, "hedges", front_services.HEDGE_LINES_PER_SECOND
+                reactor, "hedges", front_services.MAX_HEDGE_LINES_PER_SECOND
             ),
             wait_queue.WaitQueue(reactor, search.SLOT_POLL_SECONDS, self._rng.random),
             without,
@@ -193,7 +193,7 @@
         self._loop_delay = loop_delay.LoopDelay(reactor)
         self._started_at = reactor.seconds()
         self.lines_dropped: Callable[[], int] = lambda: 0
-        """Returns how many log lines were dropped because their reader was too slow."""
+        """Returns the number of log lines that were dropped because their reader was too slow."""
         self._callers = server_connection.Server(
             reactor,
             self._front.limits,
@@ -273,7 +273,7 @@
         self._store.era.listeners.append(self._on_store_return)
         self._directory.on_table = self._on_table
         self._directory.on_targets = self._on_targets
-        self._directory.on_instances = self._on_other_keys
+        self._directory.on_other_keys = self._on_other_keys
         self._registration.on_listed = self._count_instances
         self._calls.on_silence = self._gatherers.mark_all_silent
         links = self._links
@@ -342,7 +342,7 @@
         self._links.broadcast(self._heartbeat())
 
     def _on_store_return(self) -> None:
-        """Rewrite everything that the store may lack since it was restored from an older copy."""
+        """Rewrite all data that the store may lack since it was restored from an older copy."""
         self._directory.on_store_return()
         self._registration.on_store_return()
         self._suspects.on_store_return()
@@ -384,9 +384,7 @@
         ):
             if states:
                 named = [f"{state.replica.target.service}/{state.id}" for state in states]
-                _log.info(
-                    kind, count=len(named), targets=named[:MAX_TARGETS_PER_LINE], view_age=age
-                )
+                _log.info(kind, count=len(named), targets=named[:MAX_LOGGED_TARGETS], view_age=age)
         self._resume_held_requests()
 
     def _update_evacuated(self, halls: frozenset[str]) -> None:
@@ -475,9 +473,9 @@
             },
             "lineworks_log_lines": {
                 "left_out": float(
-                    self._request_log.left_out
-                    + self._learning.lines_left_out
-                    + self._quotas.lines_left_out
+                    self._request_log.suppressed_lines
+                    + self._learning.suppressed_lines
+                    + self._quotas.suppressed_lines
                 ),
                 "dropped": float(self.lines_dropped()),
             },
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -24,8 +24,8 @@
 SLOW_FACTOR = 2.0
 """A call given up after this multiple of the usual service time counts against its target."""
 
-LINES_PER_SECOND = 5.0
-"""Most log lines a second about targets that are avoided or answer again."""
+MAX_LOG_LINES_PER_SECOND = 5.0
+"""Maximum number of log lines per second for targets that are avoided or answer again."""
 
 
 class TargetLearning:
@@ -41,11 +41,11 @@
         """
         self._book = book
         self._rng = rng
-        self._log = rate_limited_log.RateLimitedLog(clock, "targets", LINES_PER_SECOND)
+        self._log = rate_limited_log.RateLimitedLog(clock, "targets", MAX_LOG_LINES_PER_SECOND)
 
     @property
-    def lines_left_out(self) -> int:
-        """Log lines suppressed since the start."""
+    def suppressed_lines(self) -> int:
+        """Number of log lines suppressed since the start."""
         return self._log.suppressed_total
 
     def service_time(self, state: target_state.TargetState) -> float:
@@ -145,7 +145,7 @@
             self._book.sightings.note_gone(state.id, now)
 
     def _log_avoided(
-        self, state: target_state.TargetState, now: float, until: float, why: str, waited: float
+        self, state: target_state.TargetState, now: float, until: float, reason: str, waited: float
     ) -> None:
         """Log that a target is avoided for a while."""
         state.is_avoided = True
@@ -153,7 +153,7 @@
             "target_avoided",
             target=state.id,
             service=state.replica.target.service,
-            reason=why,
+            reason=reason,
             seconds=round(until - now, 3),
             failures=state.replica.failures,
             losses=state.replica.losses,
