--- a/src/lineworks/decisions/extra_attempts.py
+++ b/src/lineworks/decisions/extra_attempts.py
@@ -79,8 +79,8 @@
     @property
     def rate(self) -> float:
         """Credit per second that all instances together earn, for each service."""
-        longest_life = EARNED_TTL_SECONDS + POOL_TTL_SECONDS + GRANT_TTL_SECONDS
-        return self.slack * USABLE_SLACK / (self.window + longest_life)
+        longest_ttl = EARNED_TTL_SECONDS + POOL_TTL_SECONDS + GRANT_TTL_SECONDS
+        return self.slack * USABLE_SLACK / (self.window + longest_ttl)
 
 
 class _Counts:
--- a/src/lineworks/decisions/quota.py
+++ b/src/lineworks/decisions/quota.py
@@ -12,7 +12,7 @@
 capacity. So the tokens spent in any window are at most those that all lives active within it had
 at its beginning or started with, those that the halls earned in it, and those that were outside the
 buckets when it began. `part_of` sizes the buckets so that this sum stays within the bound for
-`MAX_LIVES` lives per hall.
+`MAX_BUCKETS` lives per hall.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from lineworks.decisions import workspaces
 
-MAX_LIVES = 3
+MAX_BUCKETS = 3
 """Number of lives per hall and window that the bound allows for. It is also the number of instances
 of a hall that may hold tokens at all, so that a hall cut into many partitions has no more holders
 than that."""
@@ -139,7 +139,7 @@
     """Divide a quota among data halls.
 
     Buckets are sized for the quota's burst as far as the bound also allows for later lives, which
-    then start with fewer tokens. If the bound does not allow `MAX_LIVES` lives at the full
+    then start with fewer tokens. If the bound does not allow `MAX_BUCKETS` lives at the full
     rate, the rate is lowered. A hall with a capacity below one token could not admit any request on
     its own, so a small quota is divided among fewer halls.
 
@@ -154,14 +154,14 @@
     allowed = bound.max_requests(quota)
     seconds = bound.window + MAX_TRANSIT_SECONDS
     available = allowed - quota.rate * seconds
-    min_depth = min(MIN_TOTAL_DEPTH, allowed / (2 * MAX_LIVES))
+    min_depth = min(MIN_TOTAL_DEPTH, allowed / (2 * MAX_BUCKETS))
     # Capacity of each life if all lives have the same.
-    equal_depth = max(available / MAX_LIVES, min_depth)
-    rate = min(quota.rate, (allowed - MAX_LIVES * equal_depth) / seconds)
+    equal_depth = max(available / MAX_BUCKETS, min_depth)
+    rate = min(quota.rate, (allowed - MAX_BUCKETS * equal_depth) / seconds)
     depth = max(
-        equal_depth, min(BURST_HEADROOM * quota.burst, available - (MAX_LIVES - 1) * min_depth)
+        equal_depth, min(BURST_HEADROOM * quota.burst, available - (MAX_BUCKETS - 1) * min_depth)
     )
-    restart_depth = min(equal_depth, max(min_depth, (available - depth) / (MAX_LIVES - 1)))
+    restart_depth = min(equal_depth, max(min_depth, (available - depth) / (MAX_BUCKETS - 1)))
     holders = max(1, min(halls, int(restart_depth / MIN_PART_DEPTH)))
     return Part(rate / holders, depth / holders, holders, restart_depth / holders)
 
@@ -169,7 +169,7 @@
 class Bucket:
     """The tokens of one workspace in one hall."""
 
-    def __init__(self, part: Part, now: float, is_only_life: bool = True) -> None:
+    def __init__(self, part: Part, now: float, is_only_bucket: bool = True) -> None:
         """Initialize the bucket with as many tokens as it can hold.
 
         Args:
@@ -178,7 +178,7 @@
             is_only_life: Whether no other life of the hall can have been active within the window.
         """
         self._part = part
-        self._is_only_life = is_only_life
+        self._is_only_bucket = is_only_bucket
         self._tokens = self._capacity
         self._updated_at = now
         self._share = 1.0
@@ -198,7 +198,7 @@
     def _capacity(self) -> float:
         """Capacity of the hall's bucket in tokens."""
         restart_depth = self._part.restart_depth
-        return self._part.depth if self._is_only_life or restart_depth is None else restart_depth
+        return self._part.depth if self._is_only_bucket or restart_depth is None else restart_depth
 
     def tokens(self, now: float) -> float:
         """Return the number of available tokens.
@@ -330,7 +330,7 @@
         self._advance(now)
         self._share = share
 
-    def set_is_only_life(self, is_only_life: bool, now: float) -> None:
+    def set_is_only_bucket(self, is_only_bucket: bool, now: float) -> None:
         """Set whether this is the only life of the hall that can be active within the window.
 
         Otherwise the capacity is limited to the part's `restart_depth`, since other lives may hold
@@ -341,7 +341,7 @@
             now: Current time in seconds.
         """
         self._advance(now)
-        self._is_only_life = is_only_life
+        self._is_only_bucket = is_only_bucket
         self._tokens = min(self._capacity, self._tokens)
 
     def _fill(self, amount: float) -> float:
--- a/src/lineworks/decisions/suspects.py
+++ b/src/lineworks/decisions/suspects.py
@@ -147,7 +147,7 @@
             return Judgement.CLEAR
         return Judgement.REFUSE if now < self.refused_until else Judgement.TRIAL
 
-    def is_over(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Return whether the record has expired.
 
         Args:
@@ -330,7 +330,7 @@
             The merged record if it changed, else None.
         """
         known = self._records.get(found.content)
-        if known is not None and known.is_over(now):
+        if known is not None and known.is_expired(now):
             known = None
         if known is None or found.epoch > known.epoch:
             merged = dataclasses.replace(found, ends=_merge_ends((), found.ends))
@@ -340,7 +340,7 @@
             cleared_at = found.cleared_at
             ends = () if cleared_at is not None else _merge_ends(known.ends, found.ends)
             merged = dataclasses.replace(known, ends=ends, cleared_at=cleared_at)
-        if merged == known or merged.is_over(now):
+        if merged == known or merged.is_expired(now):
             return None
         self._records[found.content] = merged
         self._evict()
@@ -361,7 +361,7 @@
                 end for end in record.ends if end.is_proven or now < end.at + UNPROVEN_SECONDS
             )
             is_empty = not ends and record.cleared_at is None
-            if is_empty or record.is_over(now):
+            if is_empty or record.is_expired(now):
                 del self._records[content]
                 gone.append(record)
             elif ends != record.ends:
--- a/src/lineworks/decisions/target_evidence.py
+++ b/src/lineworks/decisions/target_evidence.py
@@ -139,10 +139,10 @@
             return self._note_slow(target, origin, min(MAX_FACTOR, observation.factor), at)
         self._reports.pop(target, None)
         was_slow = target in self._beliefs
-        self.believe(observation, at)
+        self.set_belief(observation, at)
         return was_slow or observation.kind is Kind.GONE
 
-    def believe(self, observation: Observation, at: float) -> None:
+    def set_belief(self, observation: Observation, at: float) -> None:
         """Set the belief about a target directly, without counting reports.
 
         Args:
--- a/src/lineworks/forwarding/caution.py
+++ b/src/lineworks/forwarding/caution.py
@@ -120,6 +120,6 @@
     def _report(self) -> None:
         if self.blocks_retries:
             self._is_reported = True
-            self._exchange.note_broken(
+            self._exchange.note_broken_connections(
                 self._content, self.broken, self._attempt, self._started_as_trial
             )
--- a/src/lineworks/forwarding/directory.py
+++ b/src/lineworks/forwarding/directory.py
@@ -175,7 +175,7 @@
         """Stop polling."""
         self._task.stop()
 
-    def on_store_return(self) -> None:
+    def on_store_restored(self) -> None:
         """Handle that the store was restored from an older copy: lost writes have yet to be redone.
 
         Until then missing entries prove nothing, and entries that reappeared are doubted.
--- a/src/lineworks/forwarding/evidence_exchange.py
+++ b/src/lineworks/forwarding/evidence_exchange.py
@@ -74,7 +74,7 @@
         links: peer_links.PeerLinks,
         peers: gatherers.GathererClient,
         keeper: extra_keeper.ExtraKeeper,
-        sightings: target_sightings.TargetSightings,
+        observations: target_sightings.TargetObservations,
     ) -> None:
         """Start without reports.
 
@@ -93,15 +93,15 @@
         self._links = links
         self._peers = peers
         self._keeper = keeper
-        self._evidence = sightings.evidence
+        self._evidence = observations.evidence
         self._reports = _Outbox()
         self._beliefs = _Outbox()
         self.counts: collections.Counter[str] = collections.Counter()
         """Reports sent to the keeper and weighed as keeper, beliefs sent and received."""
-        sightings.on_sighting = self._on_sighting
+        observations.on_observation = self._on_observation
         links.handle(node_frames.TargetReports, self._on_reports)
 
-    def _on_sighting(self, observation: target_evidence.Observation) -> None:
+    def _on_observation(self, observation: target_evidence.Observation) -> None:
         """Schedule a report of what this instance observed."""
         was_empty = self._reports.is_empty
         if self._reports.add(observation, self._reactor.seconds()) and was_empty:
@@ -122,17 +122,17 @@
     def _on_reports(self, link: Any, frame: node_frames.TargetReports) -> None:
         now = self._reactor.seconds()
         if not frame.is_belief:
-            self._aggregate(frame.sightings, link.hello.name, now)
+            self._aggregate(frame.observations, link.hello.name, now)
             return
-        self.counts["beliefs_taken_over"] += len(frame.sightings)
-        for observation in frame.sightings:
-            self._evidence.believe(observation, now)
+        self.counts["beliefs_taken_over"] += len(frame.observations)
+        for observation in frame.observations:
+            self._evidence.set_belief(observation, now)
 
     def _aggregate(
-        self, sightings: Iterable[target_evidence.Observation], origin: str, now: float
+        self, observations: Iterable[target_evidence.Observation], origin: str, now: float
     ) -> None:
         """Weigh reports as keeper, and schedule a message to the hall for each change of belief."""
-        for observation in sightings:
+        for observation in observations:
             self.counts["weighed"] += 1
             if self._evidence.note(observation, origin, now):
                 self._schedule_belief(observation, now)
--- a/src/lineworks/forwarding/node.py
+++ b/src/lineworks/forwarding/node.py
@@ -137,7 +137,7 @@
             self._links,
             self._gatherers,
             self._keeper,
-            self._book.sightings,
+            self._book.observations,
         )
         self._suspects = suspect_exchange.SuspectExchange(
             reactor, settings.name, settings.hall, self._links, self._store, self._book
@@ -270,7 +270,7 @@
         self._front.ends_at = lambda: self._stop.answer_by
         self._front.is_over = lambda: self._stop.is_over
         self._ranks.is_leaving = lambda: self._stop.is_begun
-        self._store.era.listeners.append(self._on_store_return)
+        self._store.era.listeners.append(self._on_store_restored)
         self._directory.on_table = self._on_table
         self._directory.on_targets = self._on_targets
         self._directory.on_instances = self._on_other_keys
@@ -341,11 +341,11 @@
         self._on_targets()
         self._links.broadcast(self._heartbeat())
 
-    def _on_store_return(self) -> None:
+    def _on_store_restored(self) -> None:
         """Rewrite everything that the store may lack since it was restored from an older copy."""
-        self._directory.on_store_return()
-        self._registration.on_store_return()
-        self._suspects.on_store_return()
+        self._directory.on_store_restored()
+        self._registration.on_store_restored()
+        self._suspects.on_store_restored()
         self._links.broadcast(self._heartbeat())
 
     def _warn_about_unknown_homes(self, table: routes.RouteTable) -> None:
--- a/src/lineworks/forwarding/quota_holder.py
+++ b/src/lineworks/forwarding/quota_holder.py
@@ -317,7 +317,7 @@
                 del self._held[name]
             else:
                 held.bucket.set_share(self._ranks.share(name), now)
-                held.bucket.set_is_only_life(
+                held.bucket.set_is_only_bucket(
                     self._ranks.is_sole_holder(name, self._sole_after), now
                 )
         oldest = now - quota.TRANSFER_TTL_SECONDS
--- a/src/lineworks/forwarding/quota_ranks.py
+++ b/src/lineworks/forwarding/quota_ranks.py
@@ -121,7 +121,7 @@
             workspace: Name of the workspace.
 
         Returns:
-            True if it is among the first `quota.MAX_LIVES` of all known instances of the hall.
+            True if it is among the first `quota.MAX_BUCKETS` of all known instances of the hall.
         """
         return self._name in self._candidates(workspace)
 
@@ -201,7 +201,7 @@
         """
         if not self._members() and not self._links.up:
             return ()
-        return self.order(workspace, self._known(hall))[: quota.MAX_LIVES]
+        return self.order(workspace, self._known(hall))[: quota.MAX_BUCKETS]
 
     def _known(self, hall: str = "") -> set[str]:
         """Return the instances of a hall that are on the membership list or linked.
--- a/src/lineworks/forwarding/registration.py
+++ b/src/lineworks/forwarding/registration.py
@@ -113,7 +113,7 @@
         if self._pending_rewrite is not None and self._pending_rewrite.active():
             self._pending_rewrite.cancel()
 
-    def on_store_return(self) -> None:
+    def on_store_restored(self) -> None:
         """Schedule a rewrite of the key: the store was restored from a copy that may lack it.
 
         The lease is lost in any case, and instances that start depend on the key.
--- a/src/lineworks/forwarding/search_attempts.py
+++ b/src/lineworks/forwarding/search_attempts.py
@@ -198,7 +198,7 @@
         is_hedge: bool,
     ) -> bool:
         shared = self._shared
-        round_trip = shared.book.ways.round_trip(hall)
+        round_trip = shared.book.round_trips.round_trip(hall)
         deadline = self._call.deadline - round_trip - FLUSH_MARGIN
         if deadline <= now:
             # The final report would arrive after the deadline, so the outcome would be unknown.
@@ -326,7 +326,7 @@
     def _note_remote_answer(self, attempt: search_state.ShardAttempt, now: float) -> None:
         """Record the response time of a target that was called by a gatherer."""
         book = self._shared.book
-        seconds = now - attempt.started - book.ways.round_trip(attempt.state.hall)
+        seconds = now - attempt.started - book.round_trips.round_trip(attempt.state.hall)
         # A gatherer holds results until the slowest of the query arrives or the query is flushed,
         # so only a target that misses the first message is known to be slow.
         usual = book.service_time(attempt.state.replica.target.service)
--- a/src/lineworks/forwarding/suspect_exchange.py
+++ b/src/lineworks/forwarding/suspect_exchange.py
@@ -160,7 +160,7 @@
             self.counts["trials"] += 1
         return found
 
-    def on_store_return(self) -> None:
+    def on_store_restored(self) -> None:
         """Write all shared records again: the store was restored from a copy that may lack them."""
         if hall_peers.represents_hall(self._links, self._hall, self._name, DUTY):
             for record in self._shared():
@@ -187,7 +187,7 @@
             self._write_soon(record)
         return left
 
-    def note_broken(
+    def note_broken_connections(
         self, content: str, targets: Sequence[str], attempt: str, is_trial: bool
     ) -> None:
         """Record that connections to targets broke during an attempt that no target answered.
--- a/src/lineworks/forwarding/target_book.py
+++ b/src/lineworks/forwarding/target_book.py
@@ -105,7 +105,7 @@
         """Limits what this instance sends to cold targets."""
         self._knows_load = mechanisms.Mechanism.LOAD_REPORTS not in without
         self._avoids_slow = mechanisms.Mechanism.SLOW_AVOIDANCE not in without
-        self.ways = hall_ways.HallRoundTrips(hall, regions)
+        self.round_trips = hall_ways.HallRoundTrips(hall, regions)
         """Network round trips to the targets' halls."""
         self._rng = rng
         self._states: dict[str, target_state.TargetState] = {}
@@ -113,7 +113,7 @@
         self._limits_cold = False
         self._by_service: dict[str, list[target_state.TargetState]] = {}
         self._service_times: dict[str, estimators.MovingAverage] = {}
-        self.sightings = target_sightings.TargetSightings(
+        self.observations = target_sightings.TargetObservations(
             mechanisms.Mechanism.SHARED_EVIDENCE not in without
         )
         """What this instance and others observed about slow targets."""
@@ -172,7 +172,7 @@
         for state in gone:
             state.replica.is_leaving = True
             self.cold.forget(state.id)
-        self.sightings.evidence.forget_absent(set(present))
+        self.observations.evidence.forget_absent(set(present))
         self._states = present
         self._by_service = by_service
         return BookChange(added, leaving, gone, ended)
@@ -228,7 +228,9 @@
             if not (state.replica.is_leaving or state.is_evacuated)
         ]
         if homes:
-            return [state for state in taking if self.ways.is_in_home_region(state.hall, homes)]
+            return [
+                state for state in taking if self.round_trips.is_in_home_region(state.hall, homes)
+            ]
         return taking
 
     def _with_capacity(
@@ -380,7 +382,7 @@
         if len(candidates) == 1:
             return candidates[0]
         usual = self.service_time(candidates[0].replica.target.service)
-        has_reports = self.sightings.has_reports
+        has_reports = self.observations.has_reports
         best, min_seconds, tie_break = candidates[0], math.inf, math.inf
         for state in candidates:
             expected_seconds, drawn = (
@@ -415,7 +417,7 @@
         """
         usual = self.service_time(service)
         usable = self.usable(service, now, excluded, homes)
-        has_reports = self.sightings.has_reports
+        has_reports = self.observations.has_reports
         candidates = [(self._estimate(state, now, usual, has_reports), state) for state in usable]
         best = min((seconds for seconds, _ in candidates), default=0.0)
         return [(seconds, state) for seconds, state in candidates if seconds <= best + slack]
@@ -423,7 +425,7 @@
     def min_seconds(self, state: target_state.TargetState) -> float:
         """Return the least time that a target takes to answer, round trip included, in seconds."""
         usual = self.service_time(state.replica.target.service)
-        return usual / 2 + self.ways.round_trip(state.hall)
+        return usual / 2 + self.round_trips.round_trip(state.hall)
 
     def expected_seconds(self, state: target_state.TargetState, now: float) -> float:
         """Estimate how long a target takes to answer, round trip included.
@@ -436,7 +438,7 @@
             Seconds.
         """
         usual = self.service_time(state.replica.target.service)
-        return self._estimate(state, now, usual, self.sightings.has_reports)
+        return self._estimate(state, now, usual, self.observations.has_reports)
 
     def _estimate(
         self, state: target_state.TargetState, now: float, usual: float, has_reports: bool
@@ -452,7 +454,7 @@
         if self._avoids_slow:
             expected_seconds += (state.latency.value - usual) * weight
         if has_reports:
-            reported = self.sightings.reported_seconds(
+            reported = self.observations.reported_seconds(
                 target.name, state.last_outcome_at, now, usual
             )
             expected_seconds = max(expected_seconds, reported)
@@ -467,7 +469,7 @@
             expected_seconds += errors * weight * ERROR_PENALTY_SECONDS
         if state.is_cold:
             expected_seconds += COLD_PENALTY_SECONDS
-        return expected_seconds + self.ways.cost(target.hall)
+        return expected_seconds + self.round_trips.cost(target.hall)
 
     def service_time(self, service: str) -> float:
         """Return the average latency of a service's targets, in seconds; 0 if unknown."""
@@ -485,7 +487,7 @@
             latency of the services is known.
         """
         slowest = max((self.service_time(service) for service in services), default=0.0)
-        return self.ways.longest + ANSWER_TIME_FACTOR * slowest
+        return self.round_trips.longest + ANSWER_TIME_FACTOR * slowest
 
     def stall_seconds(self, service: str) -> float:
         """Return the seconds without progress after which a target of a service is stalled."""
@@ -503,7 +505,7 @@
         usual = self._service_times.get(service)
         if usual is None:
             usual = self._service_times[service] = estimators.MovingAverage(SERVICE_WEIGHT)
-        self.sightings.note_answer(state.id, now, seconds, usual.value)
+        self.observations.note_answer(state.id, now, seconds, usual.value)
         known = max(usual.value, state.latency.value)
         usual.record(seconds)
         # Samples of the service's average are not capped: hedges must leave time for pauses.
@@ -530,7 +532,7 @@
             seconds: Time since the request was sent.
         """
         usual = self.service_time(state.replica.target.service)
-        self.sightings.note_given_up(state.id, now, seconds, usual)
+        self.observations.note_given_up(state.id, now, seconds, usual)
         if seconds > max(state.latency.value, usual):
             state.latency.record(seconds)
             state.last_outcome_at = now
--- a/src/lineworks/forwarding/target_learning.py
+++ b/src/lineworks/forwarding/target_learning.py
@@ -54,7 +54,7 @@
 
     def connect_seconds(self, state: target_state.TargetState) -> float:
         """Return the connect timeout for a target, in seconds."""
-        return hall_ways.connect_seconds(self._book.ways.round_trip(state.hall))
+        return hall_ways.connect_seconds(self._book.round_trips.round_trip(state.hall))
 
     def on_sent(self, state: target_state.TargetState, now: float) -> None:
         """Count a call that is about to be sent against the limit of a cold target.
@@ -137,12 +137,12 @@
         elif found.reason in (verdict.Reason.UNREACHABLE, verdict.Reason.LINK_LOST):
             replica.on_unreachable(now, self._rng)
             if found.reason is verdict.Reason.UNREACHABLE:
-                self._book.sightings.note_unreachable(state.id, now)
+                self._book.observations.note_unreachable(state.id, now)
             self._log_avoided(state, now, replica.backoff_until, found.reason.value, 0.0)
         elif found.reason is verdict.Reason.LEAVING:
             # Another process listens on the address, so this one is gone for good.
             replica.is_leaving = True
-            self._book.sightings.note_gone(state.id, now)
+            self._book.observations.note_gone(state.id, now)
 
     def _log_avoided(
         self, state: target_state.TargetState, now: float, until: float, why: str, waited: float
--- a/src/lineworks/forwarding/target_sightings.py
+++ b/src/lineworks/forwarding/target_sightings.py
@@ -13,7 +13,7 @@
 """Seconds after which an observation of a target counts half, so that the target is tried again."""
 
 
-class TargetSightings:
+class TargetObservations:
     """Collects observations of one instance's targets and shares its own with other instances."""
 
     def __init__(self, is_shared: bool) -> None:
@@ -25,7 +25,9 @@
         self._is_shared = is_shared
         self.evidence = target_evidence.TargetEvidence()
         """Observations by this instance and others."""
-        self.on_sighting: Callable[[target_evidence.Observation], None] = lambda observation: None
+        self.on_observation: Callable[[target_evidence.Observation], None] = lambda observation: (
+            None
+        )
         """Called with each observation that this instance shares."""
 
     @property
@@ -104,5 +106,5 @@
             return
         if observation.kind is not target_evidence.Kind.SLOW:
             # The instance acts on its own observations at once.
-            self.evidence.believe(observation, now)
-        self.on_sighting(observation)
+            self.evidence.set_belief(observation, now)
+        self.on_observation(observation)
--- a/src/lineworks/wire/_sharing_codec.py
+++ b/src/lineworks/wire/_sharing_codec.py
@@ -63,7 +63,7 @@
 
 def _write_reports(builder: Any, frame: node_frames.TargetReports, now: float) -> None:
     body = builder.init("targetReports")
-    rows = frame.sightings
+    rows = frame.observations
     body.targets = [row.target for row in rows]
     body.kinds = [int(row.kind) for row in rows]
     body.isBelief = frame.is_belief
--- a/src/lineworks/wire/node_frames.py
+++ b/src/lineworks/wire/node_frames.py
@@ -168,7 +168,7 @@
 class TargetReports:
     """Carries observations of targets to a hall's keeper, or the keeper's beliefs to the hall."""
 
-    sightings: tuple[target_evidence.Observation, ...]
+    observations: tuple[target_evidence.Observation, ...]
     """One observation for each target."""
 
     is_belief: bool = False
--- a/tests/test_acting_together.py
+++ b/tests/test_acting_together.py
@@ -188,13 +188,15 @@
         keeper = keeper_of(made, hall)
         for name in made.names:
             node = made.world.nodes[name]
-            believed = {one for one in slow if node._book.sightings.evidence.has_slow_reports(one)}
+            believed = {
+                one for one in slow if node._book.observations.evidence.has_slow_reports(one)
+            }
             if name.startswith(hall) and name != keeper:
                 assert node._evidence.counts["weighed"] == 0
                 assert believed
     sound = set(made.world.targets) - set(slow)
     for node in made.world.nodes.values():
-        wrong = {one for one in sound if node._book.sightings.evidence.slowness(one, made.now)}
+        wrong = {one for one in sound if node._book.observations.evidence.slowness(one, made.now)}
         assert len(wrong) <= 1
 
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -92,7 +92,7 @@
 _position = st.builds(positions.Position, _number, _number)
 _evacuation = st.builds(evacuations.EvacuationChange, _text, _position, st.booleans())
 _names = st.lists(_text, max_size=5).map(tuple)
-_sighting = st.builds(
+_observation = st.builds(
     target_evidence.Observation,
     _text,
     st.sampled_from(target_evidence.Kind),
@@ -135,7 +135,7 @@
     st.builds(node_frames.QuotaReturn, _number),
     st.builds(node_frames.QuotaPull, _number, _text, st.integers(0, 4000).map(float)),
     st.builds(node_frames.QuotaShare, _number, st.integers(0, 4000).map(float)),
-    st.builds(node_frames.TargetReports, st.lists(_sighting, max_size=5).map(tuple)),
+    st.builds(node_frames.TargetReports, st.lists(_observation, max_size=5).map(tuple)),
     _sub_queries(),
     st.builds(messages.Cancel, _number, st.lists(st.integers(0, 2**31), max_size=5).map(tuple)),
     st.builds(frames.Replies, st.lists(_reply, max_size=5).map(tuple)),
--- a/tests/test_older_copy.py
+++ b/tests/test_older_copy.py
@@ -235,7 +235,7 @@
 def test_suspects_that_the_store_lost_are_rewritten(world):
     copy = world.store.copy()
     suspects = world.nodes["akl-1"]._suspects
-    suspects.note_broken("c" * 24, ["i-1"], "a1", is_trial=True)
+    suspects.note_broken_connections("c" * 24, ["i-1"], "a1", is_trial=True)
     let_instances_poll(world)
     prefix = suspect_documents.PREFIX
     assert len(world.store.page(prefix, "")[0]) == 1
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("burst", [0.0, 1.0, 50.0])
 def test_all_lives_together_stay_within_the_bound(rate, burst, bound):
     found = part(rate, burst, bound)
-    lives = found.depth + (quota.MAX_LIVES - 1) * found.restart_depth
+    lives = found.depth + (quota.MAX_BUCKETS - 1) * found.restart_depth
     spent = lives + found.rate * (bound.window + quota.MAX_TRANSIT_SECONDS)
     spent *= found.holders
     assert spent <= bound.max_requests(workspaces.Quota(rate, burst)) + 1e-9
@@ -43,13 +43,13 @@
     found = part(2.0, 20.0)
     assert found.depth * found.holders >= 20.0
     assert found.restart_depth * found.holders >= quota.MIN_TOTAL_DEPTH
-    later = quota.Bucket(found, 0.0, is_only_life=False)
+    later = quota.Bucket(found, 0.0, is_only_bucket=False)
     assert later.tokens(0.0) == pytest.approx(found.restart_depth)
     assert later.tokens(1000.0) == pytest.approx(found.restart_depth)
-    later.set_is_only_life(True, 1000.0)
+    later.set_is_only_bucket(True, 1000.0)
     assert later.tokens(1000.0) == pytest.approx(found.restart_depth)
     assert later.tokens(2000.0) == pytest.approx(found.depth)
-    later.set_is_only_life(False, 2000.0)
+    later.set_is_only_bucket(False, 2000.0)
     assert later.tokens(2000.0) == pytest.approx(found.restart_depth)
 
 
@@ -197,8 +197,8 @@
         self.spent = []
         self.late = []
 
-    def make(self, limit, is_only_life=True):
-        return quota.Bucket(quota.part_of(limit, self.bound, HALLS), self.now, is_only_life)
+    def make(self, limit, is_only_bucket=True):
+        return quota.Bucket(quota.part_of(limit, self.bound, HALLS), self.now, is_only_bucket)
 
     def run(self, events):
         for kind, *values in events:
@@ -229,9 +229,9 @@
     def restart(self, hall):
         """Start a new life, unless the window already contains the maximum number of lives."""
         recent = [at for at in self.life_starts[hall] if at > self.now - self.bound.window]
-        if len(recent) < quota.MAX_LIVES - 1:
+        if len(recent) < quota.MAX_BUCKETS - 1:
             self.life_starts[hall].append(self.now)
-            self.buckets[hall] = self.make(LIMIT, is_only_life=False)
+            self.buckets[hall] = self.make(LIMIT, is_only_bucket=False)
 
     def set_rate(self, rate):
         found = quota.part_of(workspaces.Quota(rate, rate), self.bound, HALLS)
@@ -286,7 +286,7 @@
 
 def size_for_a_single_life(monkeypatch):
     whole = quota.part_of(LIMIT, BOUND, HALLS)
-    deep = quota.Part(whole.rate, whole.depth * quota.MAX_LIVES)
+    deep = quota.Part(whole.rate, whole.depth * quota.MAX_BUCKETS)
     monkeypatch.setattr(quota, "part_of", lambda limit, bound, halls: deep)
 
 
--- a/tests/test_quota_keeper.py
+++ b/tests/test_quota_keeper.py
@@ -187,7 +187,7 @@
 
 def test_the_check_detects_a_fleet_that_exceeds_the_bound(monkeypatch):
     found = quota.part_of(quota_fleet.workspaces.Quota(10.0, 10.0), quota_fleet.BOUND, 6)
-    deep = quota.Part(found.rate, found.depth * quota.MAX_LIVES, found.holders)
+    deep = quota.Part(found.rate, found.depth * quota.MAX_BUCKETS, found.holders)
     monkeypatch.setattr(quota, "part_of", lambda limit, bound, halls: deep)
     fleet = one_workspace(10.0, (5,) * 6)
     fleet.load({"w": 60.0}, 6.0)
--- a/tests/test_target_evidence.py
+++ b/tests/test_target_evidence.py
@@ -112,7 +112,7 @@
 
 def report_slow_by_two(book, target, at=1.0):
     for origin, later in (("a", 0.0), ("b", 0.4)):
-        book.sightings.evidence.note(
+        book.observations.evidence.note(
             target_evidence.Observation(target, SLOW, 8.0), origin, at + later
         )
 
@@ -146,7 +146,7 @@
 def test_slow_and_abandoned_requests_are_reported_and_usual_ones_are_not():
     book = make_book()
     told = []
-    book.sightings.on_sighting = told.append
+    book.observations.on_observation = told.append
     first, second = book.usable("s", 1.0, ())
     book.note_answer(first, 1.0, 0.035)
     assert told == []
@@ -156,7 +156,7 @@
         (first.id, SLOW),
         (second.id, SLOW),
     ]
-    book.sightings.evidence.believe(told[-1], 1.25)
+    book.observations.evidence.set_belief(told[-1], 1.25)
     book.note_answer(second, 1.3, 0.03)
-    assert not book.sightings.evidence.has_slow_reports(second.id)
+    assert not book.observations.evidence.has_slow_reports(second.id)
     assert told[-1] == target_evidence.Observation(second.id, target_evidence.Kind.WELL)
