--- a/src/lineworks/decisions/changes.py
+++ b/src/lineworks/decisions/changes.py
@@ -25,7 +25,7 @@
     """An accepted change."""
 
     id: str
-    """Unique identifier chosen by the writer. It tells whether a write took effect if the reply was
+    """Unique identifier chosen by the writer. It shows whether a write took effect if the reply was
     lost."""
 
     version: int
--- a/src/lineworks/decisions/cold_targets.py
+++ b/src/lineworks/decisions/cold_targets.py
@@ -51,7 +51,7 @@
     """Tracks what this instance has sent to cold targets and may still send."""
 
     def __init__(self, own: str, bound: ColdBound) -> None:
-        """Initialise with an unknown number of instances, so that nothing may be sent.
+        """Initialize with an unknown number of instances, so that nothing may be sent.
 
         Args:
             own: Name of this instance.
@@ -76,7 +76,7 @@
 
         Args:
             names: Instances that are connected or listed in the store.
-            now: Current time, in seconds.
+            now: Current time in seconds.
         """
         for name in names:
             self._seen[name] = now
@@ -111,7 +111,7 @@
         Args:
             target: Identity of the target's process.
             rate: Requests per second that it can handle while cold.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             True unless the share for the current window is used up.
@@ -123,7 +123,7 @@
 
         Args:
             target: Identity of the target's process.
-            now: Current time, in seconds.
+            now: Current time in seconds.
         """
         self._recent(target, now).append(now)
 
--- a/src/lineworks/decisions/estimators.py
+++ b/src/lineworks/decisions/estimators.py
@@ -109,7 +109,7 @@
     """Token bucket that regular work fills and extra work, such as a retry, draws from."""
 
     def __init__(self, burst: float, start: float | None = None) -> None:
-        """Initialise the bucket.
+        """Initialize the bucket.
 
         Args:
             burst: Maximum number of tokens.
--- a/src/lineworks/decisions/evacuations.py
+++ b/src/lineworks/decisions/evacuations.py
@@ -97,9 +97,9 @@
         """End the held evacuations that were not written again after the store was restored.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
             asked_at: When the store was last read successfully, in seconds. While it is
-                unavailable it cannot tell whether they were rewritten.
+                unavailable, it is unknown whether they were rewritten.
             position: Position up to which all changes are known.
 
         Returns:
--- a/src/lineworks/decisions/extra_attempts.py
+++ b/src/lineworks/decisions/extra_attempts.py
@@ -220,7 +220,7 @@
         return granted + own + self._pool.remaining(service, now)
 
     def least_left(self, now: float) -> float:
-        """Return the extra attempts left for the service that has the fewest.
+        """Return the number of extra attempts of the service that has the fewest left.
 
         Args:
             now: Current time in seconds.
--- a/src/lineworks/decisions/gather_rate.py
+++ b/src/lineworks/decisions/gather_rate.py
@@ -5,7 +5,7 @@
 spends more time on that instance's processor and link than at the targets. The large instances
 therefore query the targets, and the small one only merges the parts that they return. The instance
 is drawn at random, weighted by its rate and by how little work it already does for the requesting
-instance. This way no instance gets all of the work, and smaller ones take over when the large ones
+instance. So no instance gets all of the work, and smaller ones take over when the large ones
 are busy or unavailable.
 
 Instances of similar or unknown capacity are treated as equal.
--- a/src/lineworks/decisions/hall_ways.py
+++ b/src/lineworks/decisions/hall_ways.py
@@ -47,7 +47,7 @@
     """Round-trip times from one data hall to the others."""
 
     def __init__(self, hall: str, regions: Mapping[str, str]) -> None:
-        """Initialise from the layout of a deployment.
+        """Initialize from the layout of a deployment.
 
         Args:
             hall: Hall from which the round trips start.
@@ -83,7 +83,7 @@
             hall: Name of the hall.
 
         Returns:
-            Round-trip time in seconds, plus a penalty for other halls than the own one.
+            Round-trip time in seconds, plus a penalty for a remote hall.
         """
         known = self._costs.get(hall)
         if known is None:
--- a/src/lineworks/decisions/members.py
+++ b/src/lineworks/decisions/members.py
@@ -57,7 +57,7 @@
         """Return the instances that may be given work.
 
         Args:
-            now: The current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             Data halls by instance name, sorted by name, including this instance.
@@ -74,7 +74,7 @@
 
         Args:
             listed: Its entries, without this instance.
-            now: The current time, in seconds.
+            now: Current time in seconds.
         """
         entries = {entry.name: entry for entry in listed}
         for name, peer in list(self._peers.items()):
@@ -107,7 +107,7 @@
 
         Args:
             name: Name of the peer.
-            now: The current time, in seconds.
+            now: Current time in seconds.
         """
         peer = self._peers.get(name)
         if peer is not None:
--- a/src/lineworks/decisions/parts.py
+++ b/src/lineworks/decisions/parts.py
@@ -45,7 +45,7 @@
 
 
 def top_records(records: Iterable[bytes], top: int) -> tuple[bytes, ...]:
-    """Select the greatest records.
+    """Select the largest records.
 
     Args:
         records: Records in any order; duplicates are kept.
@@ -117,7 +117,7 @@
         return True
 
     def floor(self) -> bytes:
-        """Return the least record that a further part must contain to change the answer.
+        """Return the smallest record that a further part must contain to change the answer.
 
         Returns:
             The last record of the merged answer, or empty bytes while it has fewer records than the
--- a/src/lineworks/decisions/quota.py
+++ b/src/lineworks/decisions/quota.py
@@ -6,13 +6,13 @@
 tokens, and tokens that are transferred, granted or returned are valid only for a short time,
 counted from the time at which they were requested.
 
-When a holder restarts, or another instance takes over, a new bucket replaces the old one; each such
-period is called a life of the hall's bucket. A new bucket starts full if no other life of the hall
-can have been active within the window. Otherwise it starts with fewer tokens and has a smaller
-capacity. So the tokens spent in any window are at most those that all lives active within it had
+When a holder restarts, or another instance takes over, a new bucket replaces the old one, which may
+still be in use at an instance that is cut off. A new bucket starts full if no other bucket of the
+hall can have been active within the window. Otherwise it starts with fewer tokens and has a smaller
+capacity. So the tokens spent in any window are at most those that all buckets active within it had
 at its beginning or started with, those that the halls earned in it, and those that were outside the
 buckets when it began. `part_of` sizes the buckets so that this sum stays within the bound for
-`MAX_BUCKETS` lives per hall.
+`MAX_BUCKETS` buckets per hall.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
     from lineworks.decisions import workspaces
 
 MAX_BUCKETS = 3
-"""Number of lives per hall and window that the bound allows for. It is also the number of instances
-of a hall that may hold tokens at all, so that a hall cut into many partitions has no more holders
-than that."""
+"""Number of buckets per hall and window that the bound allows for. It is also the number of
+instances of a hall that may hold tokens at all, so that a hall cut into many partitions has no more
+holders than that."""
 
 TRANSFER_TTL_SECONDS = 0.25
 """Seconds for which tokens from another hall are valid, from the time at which they were requested:
@@ -85,7 +85,7 @@
     """No token is available."""
 
     UNSURE = 2
-    """The holder cannot tell: it does not hold the hall's tokens, or does not know the limit."""
+    """The holder cannot decide: it does not hold the hall's tokens, or does not know the limit."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -127,8 +127,8 @@
     """Number of halls that have such a part; the others have none and request tokens from these."""
 
     restart_depth: float | None = None
-    """Initial tokens and capacity of a bucket while other lives of the hall may be active, or have
-    been active within the window; None for `depth`."""
+    """Initial tokens and capacity of a bucket while other buckets of the hall may be active, or
+    have been active within the window; None for `depth`."""
 
 
 NO_PART = Part(0.0, 0.0)
@@ -138,8 +138,8 @@
 def part_of(quota: workspaces.Quota, bound: QuotaBound, halls: int) -> Part:
     """Divide a quota among data halls.
 
-    Buckets are sized for the quota's burst as far as the bound also allows for later lives, which
-    then start with fewer tokens. If the bound does not allow `MAX_BUCKETS` lives at the full
+    Buckets are sized for the quota's burst as far as the bound also allows for later ones, which
+    then start with fewer tokens. If the bound does not allow `MAX_BUCKETS` buckets at the full
     rate, the rate is lowered. A hall with a capacity below one token could not admit any request on
     its own, so a small quota is divided among fewer halls.
 
@@ -155,7 +155,7 @@
     seconds = bound.window + MAX_TRANSIT_SECONDS
     available = allowed - quota.rate * seconds
     min_depth = min(MIN_TOTAL_DEPTH, allowed / (2 * MAX_BUCKETS))
-    # Capacity of each life if all lives have the same.
+    # Capacity of each bucket if all buckets have the same.
     equal_depth = max(available / MAX_BUCKETS, min_depth)
     rate = min(quota.rate, (allowed - MAX_BUCKETS * equal_depth) / seconds)
     depth = max(
@@ -175,7 +175,8 @@
         Args:
             part: The hall's part of the quota.
             now: Current time in seconds.
-            is_only_life: Whether no other life of the hall can have been active within the window.
+            is_only_bucket: Whether no other bucket of the hall can have been active within the
+                window.
         """
         self._part = part
         self._is_only_bucket = is_only_bucket
@@ -185,7 +186,7 @@
         # Tokens from other halls that exceeded the capacity: (expiry time, amount).
         self._overflow: list[tuple[float, float]] = []
         # Spent tokens that may still be returned: (grant time, amount that can be returned).
-        # Together with the tokens in the bucket they never exceed the capacity. Otherwise requests
+        # Together with the tokens in the bucket they never exceed the capacity; otherwise requests
         # that fail and are retried would accumulate tokens outside the bucket.
         self._returnable: list[tuple[float, float]] = []
 
@@ -310,7 +311,7 @@
         return missing / rate if rate > 0 and self._capacity >= _ONE_TOKEN else math.inf
 
     def set_part(self, part: Part, now: float) -> None:
-        """Change the limit without starting a new life.
+        """Change the limit without replacing the bucket.
 
         Args:
             part: The hall's part of the new quota.
@@ -331,13 +332,14 @@
         self._share = share
 
     def set_is_only_bucket(self, is_only_bucket: bool, now: float) -> None:
-        """Set whether this is the only life of the hall that can be active within the window.
+        """Set whether this is the only bucket of the hall that can be active within the window.
 
-        Otherwise the capacity is limited to the part's `restart_depth`, since other lives may hold
-        that much as well.
+        Otherwise the capacity is limited to the part's `restart_depth`, since other buckets may
+        hold that much as well.
 
         Args:
-            is_only_life: Whether no other life can be active now, or have been within the window.
+            is_only_bucket: Whether no other bucket can be active now, or have been within the
+                window.
             now: Current time in seconds.
         """
         self._advance(now)
@@ -434,7 +436,7 @@
 def earned_share(rank: int, silent: float, heard: int, known: int) -> float:
     """Return the fraction of its hall's rate that a holder earns.
 
-    A holder earns in proportion to the number of instances of its hall that it hears from, so that
+    A holder earns in proportion to the number of instances of its hall that are not silent, so that
     two holders that are cut off from each other together earn no more than one would. A holder that
     takes over from an instance with a better rank earns nothing until that instance, if it is only
     cut off, has noticed.
@@ -442,7 +444,7 @@
     Args:
         rank: The holder's rank for the workspace among the known instances of the hall; 0 is best.
         silent: Seconds since the last message from any instance with a better rank.
-        heard: Number of the hall's instances that the holder hears from, including itself.
+        heard: Number of the hall's instances that are not silent, including the holder.
         known: Number of the hall's known instances, including the holder.
 
     Returns:
--- a/src/lineworks/decisions/replicas.py
+++ b/src/lineworks/decisions/replicas.py
@@ -121,7 +121,7 @@
         """Estimate the number of requests at the target.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             Own attempts plus the decayed load by others.
@@ -133,7 +133,7 @@
         """Return whether the target appears stuck.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
             stall_timeout: Seconds without progress after which a target with work in flight counts
                 as stalled.
 
@@ -148,7 +148,7 @@
         """Record the start of an attempt.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
         """
         if self.in_flight == 0:
             self.progress_at = now
@@ -158,7 +158,7 @@
         """Record the end of an attempt.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
             is_progress: Whether the target itself completed it.
         """
         self.in_flight -= 1
@@ -174,7 +174,7 @@
         Abandoned attempts are no longer in flight, which hides the stall from `is_stalled`.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
         """
         self.losses += 1
         if self.losses >= EJECT_AFTER_LOSSES:
@@ -185,7 +185,7 @@
         """Record a failure to reach the target and back off exponentially, with jitter.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
             rng: Source of the jitter.
         """
         self.failures += 1
@@ -196,7 +196,7 @@
         """Let a refusal by the target override its reports for a while.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
             snapshot: Snapshot that it refused, or did not answer from.
         """
         self.refused_snapshots[snapshot] = now + SNAPSHOT_REFUSAL_SECONDS
@@ -206,7 +206,7 @@
         """Apply a status report.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
             report: The report.
         """
         if report.incarnation != self.incarnation:
@@ -228,7 +228,7 @@
         """Apply a load report from a target that reports nothing else.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
             incarnation: Identity of its process.
             requests: Number of requests running or queued.
         """
@@ -250,7 +250,7 @@
         target: The configured target.
 
     Returns:
-        A replica that holds nothing until its first report.
+        A replica that holds no snapshot until its first report.
     """
     share = ownership.connection_share(target.connections)
     limit = limits.TargetLimit(target.slots, share)
@@ -266,7 +266,7 @@
 
     Args:
         candidates: Replicas with spare capacity; at least one.
-        now: Current time, in seconds.
+        now: Current time in seconds.
         rng: Random source.
 
     Returns:
@@ -281,7 +281,7 @@
 
     Args:
         candidates: Replicas with spare capacity; at least one.
-        now: Current time, in seconds.
+        now: Current time in seconds.
         rng: Random source.
 
     Returns:
@@ -297,7 +297,7 @@
 
     Args:
         candidates: Replicas with spare capacity; at least one.
-        now: Current time, in seconds.
+        now: Current time in seconds.
         rng: Random source.
 
     Returns:
@@ -312,7 +312,7 @@
 
     Args:
         candidates: Replicas with spare capacity; at least one.
-        now: Current time, in seconds.
+        now: Current time in seconds.
         rng: Random source.
 
     Returns:
@@ -334,7 +334,7 @@
     Args:
         replicas: All replicas of the service that this gatherer owns.
         snapshot: Pinned snapshot, or None for any.
-        now: Current time, in seconds.
+        now: Current time in seconds.
         stall_timeout: Seconds without progress after which a replica counts as stalled, or None to
             ignore stalls.
 
--- a/src/lineworks/decisions/routing.py
+++ b/src/lineworks/decisions/routing.py
@@ -34,7 +34,7 @@
         """Record how long a sub-query waited.
 
         Args:
-            now: The current time, in seconds.
+            now: Current time in seconds.
             waited: Seconds that it waited for a slot.
         """
         self.waited = waited
@@ -44,7 +44,7 @@
         """Estimate the wait for a slot in the hall.
 
         Args:
-            now: The current time, in seconds.
+            now: Current time in seconds.
             service_time: Typical seconds of work per sub-query.
 
         Returns:
@@ -82,7 +82,7 @@
     Args:
         paths: The halls that can serve the sub-query; at least one.
         loads: Load of the service by hall.
-        now: The current time, in seconds.
+        now: Current time in seconds.
         service_time: Typical seconds of work per sub-query.
         rng: Random source for tie-breaking.
 
--- a/src/lineworks/decisions/suspects.py
+++ b/src/lineworks/decisions/suspects.py
@@ -27,14 +27,15 @@
 REFUSE_SECONDS = (600.0, 3600.0, 86400.0)
 """Seconds for which a request is refused after its first, second and any later trial that ended a
 target. The first is the platform's longest lease; the last gives an operator a day to act.
-Including the first trial there are at most three before that."""
+At
+most three trials, including the first, take place before that."""
 
 SUSPECT_SECONDS = 600.0
 """Seconds for which a suspect is kept after its last end, or after a refusal has run out."""
 
 UNPROVEN_SECONDS = 10.0
 """Seconds for which unproven ends count. Proof comes sooner if there is any: a connection to a dead
-process is refused within a round trip, and its entry is gone or replaced after some seconds."""
+process is refused within a round trip, and its entry is removed or replaced after some seconds."""
 
 CLEARED_SECONDS = 60.0
 """Seconds for which an answer clears a request: reports that are in transit, or delayed by a
@@ -42,8 +43,8 @@
 or on other data."""
 
 MAX_ANSWERED = 2048
-"""Maximum number of fingerprints of answered requests, about 0.4 MB. Requests that many callers
-send stay among them."""
+"""Maximum number of fingerprints of answered requests, about 0.4 MB. Those answered
+least recently are evicted first, so requests that many callers send stay."""
 
 MIN_RESTART_SECONDS = 0.5
 """Minimum time between two distinct ends of a target with the same identity, in seconds: no process
@@ -103,7 +104,8 @@
     """Fingerprint of the request's content."""
 
     epoch: int
-    """Number of times that it was cleared or lifted; newer records have a higher epoch."""
+    """Number of times that it was cleared or its refusal was lifted; newer records have a higher
+    epoch."""
 
     ends: tuple[TargetEnd, ...] = ()
     """Ends of targets while they ran it."""
@@ -138,7 +140,7 @@
         """Decide how to handle the request when it arrives again.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             How to handle it.
@@ -151,7 +153,7 @@
         """Return whether the record has expired.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             True if it can be deleted.
@@ -186,7 +188,7 @@
 
         Args:
             content: Its fingerprint.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             How to handle it.
@@ -195,12 +197,12 @@
         return found.judge(now) if found is not None else Judgement.CLEAR
 
     def is_down(self, target: str, attempt: str, now: float) -> bool:
-        """Return whether a target has just ended, under any request, and so cannot end again yet.
+        """Return whether a target has just ended during any request, and so cannot end again yet.
 
         Args:
             target: Identity of the target.
             attempt: Identity of the attempt that broke off; an end noted for it does not count.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             Whether such an end is proven.
@@ -224,7 +226,7 @@
             targets: Identities of the targets.
             attempt: Identity of the attempt.
             is_trial: Whether it ran on trial.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             The record if it changed, else None.
@@ -249,7 +251,7 @@
             content: Fingerprint of the request that it broke off.
             target: Identity of the target.
             attempt: Identity of the attempt that it broke off.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             The record if it changed, else None.
@@ -269,7 +271,7 @@
 
         Args:
             content: Its fingerprint.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             The record if it was a suspect, else None.
@@ -287,7 +289,7 @@
         return self.merge(Record(content, known.epoch + 1, cleared_at=now), now)
 
     def _is_answered(self, content: str, now: float) -> bool:
-        """Return whether a target answered it recently, even before any target ended under it."""
+        """Return whether a target answered it recently, even before any target ended during it."""
         at = self._answered.get(content)
         return at is not None and now < at + CLEARED_SECONDS
 
@@ -296,7 +298,7 @@
 
         Args:
             content: Fingerprint of the request.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             The record if it was cleared now, else None.
@@ -308,7 +310,7 @@
 
         Args:
             content: Its fingerprint.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             The record, or None if it is not refused.
@@ -324,7 +326,7 @@
 
         Args:
             found: The record; its times may lie in the past.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             The merged record if it changed, else None.
@@ -350,7 +352,7 @@
         """Delete expired records, and ends that remained unproven for too long.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             The deleted records.
--- a/src/lineworks/decisions/target_evidence.py
+++ b/src/lineworks/decisions/target_evidence.py
@@ -2,14 +2,14 @@
 
 Each of 195 instances sends a given target only one request in many seconds. When 15 of 100 targets
 turn slow at once, an instance alone notices only through late requests; sharing observations, the
-hall knows within half a second, and first attempts go to other targets.
+hall notices within half a second, and first attempts go to other targets.
 
 A report only makes a target count as slower when one is chosen; it never excludes a target, so a
 hall that reports all its targets as slow still uses all of them. A target is believed to be slow
 only when two instances report it, over a longer time than a target's pause lasts. This keeps one
 instance with a bad link, or a target that paused, from misleading the others. Reports by an
-instance that calls most targets slow are ignored, as it is probably slow itself. An instance's own
-later observations take precedence over everything that it was told.
+instance that reports most targets as slow are ignored, as it is probably slow itself. An instance's
+own later observations take precedence over the reports of others.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 """Share of all targets that an instance may report as slow before its reports are ignored."""
 
 MIN_SLOW_LIMIT = 8
-"""Number of targets that it may always report as slow."""
+"""Number of targets that an instance may always report as slow."""
 
 
 class Kind(enum.IntEnum):
@@ -126,7 +126,7 @@
 
         Args:
             observation: The observation.
-            origin: Name of the instance.
+            origin: Name of the instance that made it.
             at: When it was made, in seconds.
 
         Returns:
@@ -172,7 +172,7 @@
 
         Args:
             target: Identity of its process.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             The belief, or None without one or when it has expired.
--- a/src/lineworks/decisions/target_view.py
+++ b/src/lineworks/decisions/target_view.py
@@ -250,7 +250,7 @@
         """Carry out the held removals that are due.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             Whether there was one.
@@ -265,7 +265,7 @@
         """Use the doubted entries that still exist after those of dead targets would have expired.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             Whether there was one.
@@ -289,7 +289,7 @@
         """Return the unsettled entries, for a peer that is sent all entries.
 
         Args:
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             The held and the doubted entries.
@@ -310,7 +310,7 @@
 
         Args:
             listed: Entries that the peer lists.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             Those of the entries that are doubted here or whose targets are leaving.
@@ -332,7 +332,7 @@
 
         Args:
             found: Unsettled entries of the peer.
-            now: Current time, in seconds.
+            now: Current time in seconds.
 
         Returns:
             Whether an entry changed.
--- a/src/lineworks/decisions/verdict.py
+++ b/src/lineworks/decisions/verdict.py
@@ -112,13 +112,13 @@
     """The request has no API key, or one that is not in the configuration."""
 
     KEY_UNSURE = "key_unsure"
-    """The instance cannot tell whether the key is valid: its configuration may be outdated."""
+    """The instance cannot determine whether the key is valid: its configuration may be outdated."""
 
     OVER_QUOTA = "over_quota"
     """The workspace has used up its quota."""
 
     QUOTA_UNSURE = "quota_unsure"
-    """No instance that could tell whether the request is within the quota answers."""
+    """No instance that could decide whether the request is within the quota answered."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
