--- a/src/lineworks/decisions/suspects.py
+++ b/src/lineworks/decisions/suspects.py
@@ -26,9 +26,8 @@
 
 REFUSE_SECONDS = (600.0, 3600.0, 86400.0)
 """Seconds for which a request is refused after its first, second and any later trial that ended a
-target. The first is the platform's longest lease; the last gives an operator a day to act.
-At
-most three trials, including the first, take place before that."""
+target. The first is the platform's longest lease; the last gives an operator a day to act. At most
+three trials, including the first, take place before that."""
 
 SUSPECT_SECONDS = 600.0
 """Seconds for which a suspect is kept after its last end, or after a refusal has run out."""
