--- a/src/lineworks/decisions/extra_attempts.py
+++ b/src/lineworks/decisions/extra_attempts.py
@@ -79,8 +79,8 @@
     @property
     def rate(self) -> float:
         """Credit per second that all instances together earn, for each service."""
-        longest_life = EARNED_TTL_SECONDS + POOL_TTL_SECONDS + GRANT_TTL_SECONDS
-        return self.slack * USABLE_SLACK / (self.window + longest_life)
+        longest_ttl = EARNED_TTL_SECONDS + POOL_TTL_SECONDS + GRANT_TTL_SECONDS
+        return self.slack * USABLE_SLACK / (self.window + longest_ttl)
 
 
 class _Counts:
@@ -220,7 +220,7 @@
         return granted + own + self._pool.remaining(service, now)
 
     def least_left(self, now: float) -> float:
-        """Return the extra attempts left for the service that has the fewest.
+        """Return the number of extra attempts of the service that has the fewest left.
 
         Args:
             now: Current time in seconds.
