--- a/src/lineworks/forwarding/evidence_exchange.py
+++ b/src/lineworks/forwarding/evidence_exchange.py
@@ -85,7 +85,7 @@
             links: Links to the other instances.
             peers: Knows which instances are available.
             keeper: Chooses the keeper of the hall.
-            sightings: Provides this instance's observations and stores beliefs.
+            observations: Provides this instance's observations and stores beliefs.
         """
         self._reactor = reactor
         self._name = name
